--- a/crates/cli/tests/large_fleets.rs
+++ b/crates/cli/tests/large_fleets.rs
@@ -4,7 +4,7 @@
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use leadrelay_core::settings::number_of;
+use leadrelay_core::names::hash_name;
 use sockets::*;
 
 /// Proxies, backends, zones, kinds and classes alike.
@@ -18,7 +18,7 @@
 
 /// The first of the 16-bit names by which datagrams name a backend.
 fn wire_name(host: &str) -> u16 {
-    let id = number_of(host);
+    let id = hash_name(host);
     let mut x = (id ^ (id >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     (x ^ (x >> 31)) as u16
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -149,11 +149,11 @@
     let discovery = Discovery::new();
     discovery.say(&all_up(&[&one, &two]));
     let (own, other) = (UdpSocket::bind("127.0.0.1:0").unwrap(), UdpSocket::bind("127.0.0.1:0").unwrap());
-    let may_tell = Some((own.local_addr().unwrap(), other.local_addr().unwrap()));
+    let gossip_enabled = Some((own.local_addr().unwrap(), other.local_addr().unwrap()));
     drop(own);
     let passed = platform("upgrade");
     let folder = passed.1.clone();
-    let setup = Setup { passed: Some(passed), may_tell, ..operated() };
+    let setup = Setup { passed: Some(passed), gossip_enabled, ..operated() };
     let mut old = Proxy::up(&discovery, &setup);
     let mut client = Client::new(&old);
     assert_eq!(status(client.ask(&page("r-0"))), 200);
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -446,7 +446,7 @@
     // An address of this test's own, so that nobody else takes the port meanwhile.
     let own = UdpSocket::bind("127.93.17.5:0").unwrap().local_addr().unwrap();
     let tell = Some((own, other.local_addr().unwrap()));
-    let mut proxy = Proxy::up(&discovery, &Setup { may_tell: tell, ..Setup::default() });
+    let mut proxy = Proxy::up(&discovery, &Setup { gossip_enabled: tell, ..Setup::default() });
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
     for size in [0, 1, 3, 255, 256, 257, 2000] {
         for first in [0u8, 1, 255] {
--- a/crates/cli/tests/sockets/mod.rs
+++ b/crates/cli/tests/sockets/mod.rs
@@ -395,7 +395,7 @@
     pub dial_timeout: u32,
     /// Of every class; its aim is four fifths of it.
     pub deadline: u32,
-    pub may_tell: Option<(SocketAddr, SocketAddr)>,
+    pub gossip_enabled: Option<(SocketAddr, SocketAddr)>,
     /// Whether it has a second address.
     pub admin: bool,
     /// The platform's listening socket, and the folder that the processes of a proxy share.
@@ -412,7 +412,7 @@
             idle_close: 30_000,
             dial_timeout: 400,
             deadline: 5000,
-            may_tell: None,
+            gossip_enabled: None,
             admin: false,
             passed: None,
             descriptors: None,
@@ -421,9 +421,9 @@
 }
 
 pub fn config(discovery: SocketAddr, setup: &Setup) -> String {
-    let tells = setup.may_tell.is_some();
+    let tells = setup.gossip_enabled.is_some();
     let (deadline, aim) = (setup.deadline, setup.deadline / 5 * 4);
-    let peers = setup.may_tell.map_or(String::new(), |(own, other)| {
+    let peers = setup.gossip_enabled.map_or(String::new(), |(own, other)| {
         format!(r#""peer_listen":"{own}","peers":["{own}","{other}"],"peers_all":"{other}","#)
     });
     let admin = if setup.admin { r#""admin_addr":"127.0.0.1:0","# } else { "" };
--- a/crates/core/src/balancer.rs
+++ b/crates/core/src/balancer.rs
@@ -16,7 +16,7 @@
 impl Balancer {
     /// Starts a proxy that knows nothing yet; `seed` is the only source of chance.
     pub fn new(cfg: Settings, seed: u64) -> Self {
-        let longest_aim = cfg.classes.iter().map(|c| c.aim).fold(0.0, f64::max);
+        let longest_aim = cfg.classes.iter().map(|c| c.latency_objective).fold(0.0, f64::max);
         let first_guess = (longest_aim / 4.0).max(1.0);
         Balancer {
             rng: fastrand::Rng::with_seed(seed),
@@ -30,7 +30,7 @@
             waiting: 0,
             running: Vec::new(),
             ghosts: VecDeque::new(),
-            class_ms: cfg.classes.iter().map(|c| (c.aim / 4.0, 0.0)).collect(),
+            class_ms: cfg.classes.iter().map(|c| (c.latency_objective / 4.0, 0.0)).collect(),
             kinds: vec![Kind::default()],
             mean: first_guess,
             slowest: 0.0,
@@ -40,8 +40,8 @@
             blocked: vec![0.0; cfg.classes.len()],
             spread: (2.0, 0.2 * SPREAD_SAMPLES),
             window: WINDOW_LEAST,
-            rating: 0.0,
-            gain: if cfg.warm_keys { 2.0 } else { 1.0 },
+            weight: 0.0,
+            gain: if cfg.key_affinity { 2.0 } else { 1.0 },
             temper: [(1.0, 1.0), (1.0, 1.0)],
             arrivals: 0.0,
             rate: 0.0,
@@ -64,7 +64,7 @@
             overlay: Overlay::default(),
             choices: Default::default(),
             violations: Default::default(),
-            safe_traffic: cfg.classes.iter().any(|c| c.effect == Effect::Safe),
+            safe_traffic: cfg.classes.iter().any(|c| c.idempotency == Idempotency::Always),
             cfg,
         }
     }
@@ -79,25 +79,25 @@
         match event {
             Event::Discovery(event) => self.discover(now, event, out),
             Event::List { scope, entries } => self.list(now, scope, entries),
-            Event::Request { id, class, tenant, key, budget, hint } => {
-                self.arrive(now, id, class.0, tenant, key, budget, hint, out);
+            Event::Request { id, class, tenant, key, timeout, expected_cost } => {
+                self.arrive(now, id, class.0, tenant, key, timeout, expected_cost, out);
             }
             // The client owns an answer that has begun.
             Event::Started { request, .. } => {
                 self.requests.entry(request).and_modify(|r| r.started = true);
             }
-            Event::Ended { request, attempt, latency, outcome, closed, .. } => {
+            Event::Ended { request, attempt, latency, outcome, finished: closed, .. } => {
                 self.ended(now, request, attempt as usize, latency, outcome, closed, out);
             }
             Event::Upload { request, stage } => self.upload(now, request, stage),
-            Event::Retune(to) => self.retune(*to),
-            Event::Leaving(leaving) => self.overlay.leaving = leaving,
-            Event::Twin(twin) => self.overlay.twin = twin,
-            Event::Maintenance { backend, banned } => self.maintain(now, backend, banned),
-            Event::Abandoned(id) => self.finish(id),
+            Event::Reconfigure(to) => self.retune(*to),
+            Event::Draining(leaving) => self.overlay.leaving = leaving,
+            Event::OverlappingProcess(twin) => self.overlay.twin = twin,
+            Event::Maintenance { endpoint, enabled } => self.maintain(now, endpoint, enabled),
+            Event::ClientClosed(id) => self.finish(id),
             Event::Timer(0) => self.tick(now, out),
-            Event::Timer(token) => self.answer(RequestId(token - 1), RefusalReason::TooLate, out), // its time is up
-            Event::Message { from, bytes } => return self.hear(now, from as usize, &bytes),
+            Event::Timer(token) => self.answer(RequestId(token - 1), RejectionReason::TooLate, out), // its time is up
+            Event::Gossip { from, bytes } => return self.hear(now, from as usize, &bytes),
         }
         self.pump(now, out);
         self.shed(out);
--- a/crates/core/src/estimates.rs
+++ b/crates/core/src/estimates.rs
@@ -10,7 +10,7 @@
     /// What is the gain of a warm server? Compares answers from homes with the others, each for its
     /// server's speed.
     pub(crate) fn learn_gain(&mut self, k: usize, class: usize, latency: Millis, home: bool, samples: f64) {
-        if self.cfg.warm_keys {
+        if self.cfg.key_affinity {
             let s = &self.servers[k];
             let sample = latency * s.warmth / (s.slow.0.max(0.05) * self.class_ms[class].0);
             average(&mut self.temper[usize::from(home)], sample.min(20.0), samples);
@@ -27,12 +27,21 @@
     }
 
     /// A request's expected work relative to its class, and its aim as a span.
-    pub(crate) fn size_and_aim(&mut self, class: usize, hint: Option<Millis>) -> (f64, Millis) {
+    pub(crate) fn size_and_aim(&mut self, class: usize, expected_cost: Option<Millis>) -> (f64, Millis) {
         let c = &self.cfg.classes[class];
-        let Some(hint) = hint.filter(|h| h.is_finite() && *h > 0.0) else { return (1.0, c.aim) };
+        let Some(expected_cost) = expected_cost.filter(|h| h.is_finite() && *h > 0.0) else {
+            return (1.0, c.latency_objective);
+        };
         let (mean, weight) = self.hints[class];
-        average(&mut self.hints[class], if weight > 0.0 { hint.min(10.0 * mean) } else { hint }, 100.0);
-        ((hint / self.hints[class].0).clamp(0.05, 50.0), (c.aim + c.aim_stretch * hint).min(c.deadline))
+        average(
+            &mut self.hints[class],
+            if weight > 0.0 { expected_cost.min(10.0 * mean) } else { expected_cost },
+            100.0,
+        );
+        (
+            (expected_cost / self.hints[class].0).clamp(0.05, 50.0),
+            (c.latency_objective + c.objective_stretch * expected_cost).min(c.deadline),
+        )
     }
 
     /// How long a request usually takes.
@@ -89,7 +98,7 @@
             (self.arrivals, self.rate_at) = (0.0, now);
         }
         for (left, tenant) in self.allowance.iter_mut().zip(&self.cfg.tenants) {
-            let rate = tenant.allowance_per_s / 1000.0 / f64::from(self.cfg.proxies);
+            let rate = tenant.quota_per_second / 1000.0 / f64::from(self.cfg.proxies);
             *left = (*left + rate * tick).min(rate * 1000.0 + 1.0);
         }
         while self.ghosts.front().is_some_and(|g| g.0 <= now) {
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -5,34 +5,50 @@
 
 impl Balancer {
     /// What a successor takes over.
-    pub fn learnt(&self) -> Learnt {
+    pub fn learnt(&self) -> LearnedState {
         let listed = self.servers.iter().filter(|s| s.told.is_none());
-        Learnt {
-            servers: listed.map(|s| (s.info.id, s.slow)).collect(),
-            classes: self.class_ms.clone(),
-            kinds: self.kinds.iter().map(|k| (k.slow, k.calm, k.throttle)).collect(),
-            back: self.overlay.back.iter().map(|(id, (away, back))| (*id, *away, *back)).collect(),
+        LearnedState {
+            endpoints: listed.map(|s| (s.info.id, mean(s.slow))).collect(),
+            classes: self.class_ms.iter().copied().map(mean).collect(),
+            machine_classes: self
+                .kinds
+                .iter()
+                .map(|k| MachineClassState {
+                    relative_latency: mean(k.slow),
+                    baseline: k.calm,
+                    concurrency_factor: k.throttle,
+                })
+                .collect(),
+            maintenance_returns: self
+                .overlay
+                .back
+                .iter()
+                .map(|(id, (away, back))| MaintenanceReturn { endpoint: *id, out_at: *away, back_at: *back })
+                .collect(),
         }
     }
 
     /// Takes over what a predecessor has learnt; what it knew nothing of stays as it is. The predecessor still
     /// spends its budgets for cold servers: those here begin empty.
-    pub fn resume(&mut self, learnt: Learnt) {
-        self.overlay.back = learnt.back.into_iter().map(|(id, away, back)| (id, (away, back))).collect();
-        for (id, slow) in learnt.servers.into_iter().filter(|s| known(s.1)) {
+    pub fn resume(&mut self, learnt: LearnedState) {
+        self.overlay.back =
+            learnt.maintenance_returns.into_iter().map(|r| (r.endpoint, (r.out_at, r.back_at))).collect();
+        for (id, slow) in learnt.endpoints.into_iter().filter(|s| s.1.is_usable()) {
             if let Some(&k) = self.index.get(&id) {
-                self.servers[k].slow = slow;
+                self.servers[k].slow = (slow.value, slow.weight);
             }
         }
         self.servers.iter_mut().for_each(|s| s.tokens = 0.0);
-        for (own, mean) in self.class_ms.iter_mut().zip(learnt.classes).filter(|(_, m)| known(*m)) {
-            *own = mean;
+        for (own, mean) in self.class_ms.iter_mut().zip(learnt.classes).filter(|(_, m)| m.is_usable()) {
+            *own = (mean.value, mean.weight);
         }
-        let kinds = self.kinds.len().max(learnt.kinds.len());
+        let kinds = self.kinds.len().max(learnt.machine_classes.len());
         self.kinds.resize_with(kinds, Kind::default);
-        for (own, (slow, calm, throttle)) in self.kinds.iter_mut().zip(learnt.kinds) {
-            if known(slow) && calm > 0.0 && throttle > 0.0 {
-                (own.slow, own.calm, own.throttle) = (slow, calm, throttle.min(1.0));
+        for (own, learnt) in self.kinds.iter_mut().zip(learnt.machine_classes) {
+            let (slow, calm, throttle) =
+                (learnt.relative_latency, learnt.baseline, learnt.concurrency_factor);
+            if slow.is_usable() && calm > 0.0 && throttle > 0.0 {
+                (own.slow, own.calm, own.throttle) = ((slow.value, slow.weight), calm, throttle.min(1.0));
                 own.core = own.calm;
             }
         }
@@ -40,7 +56,6 @@
     }
 }
 
-/// Whether a mean that was handed on tells anything.
-fn known((mean, weight): Mean) -> bool {
-    mean.is_finite() && mean > 0.0 && weight.is_finite() && weight > 0.0
+fn mean((value, weight): (f64, f64)) -> WeightedMean {
+    WeightedMean { value, weight }
 }
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -89,7 +89,7 @@
         let s = &self.servers[k];
         let repeats_where_dropped = || match self.bound(r) {
             Some((first, group, until)) => now < until && s.drops_repeats_of(&self.servers[first], group),
-            None => self.cfg.classes[r.class].effect == Effect::Safe || !r.may_have_run(),
+            None => self.cfg.classes[r.class].idempotency == Idempotency::Always || !r.may_have_run(),
         };
         if s.told.is_some() {
             Some(Invariant::BackendInService)
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -12,29 +12,48 @@
 //! assert!(threshold(2.0, 0.1, 3.0) >= 2);
 //! ```
 
+mod actions;
 mod balancer;
 mod bands;
+mod endpoint;
 mod estimates;
+mod events;
 mod gauges;
 mod handover;
-pub mod interface;
+mod ids;
+mod interface;
 mod invariant;
+mod learned_state;
 mod listing;
 mod message;
+pub mod names;
 mod number;
 mod operators;
+mod outcomes;
 mod overlay;
 mod policy;
 mod records;
-#[cfg(feature = "settings")]
 pub mod settings;
 mod standing;
 mod state;
 mod subscription;
+mod weighted_mean;
 mod wire_names;
 
-pub use interface::*;
+pub use actions::{Action, CancelReason, RejectionReason};
+pub use endpoint::{Endpoint, EndpointState, ListScope};
+pub use events::{CallEnd, DiscoveryEvent, Event, Reconfiguration, UploadStage};
+pub use ids::{
+    AffinityKey, CallId, CellId, ClassId, EndpointId, MachineClassId, Millis, RequestId, TenantId, ZoneId,
+};
 pub use invariant::{Invariant, Violations};
+pub use learned_state::{LearnedState, MachineClassState, MaintenanceReturn};
+pub use outcomes::Outcome;
 pub use policy::threshold::threshold;
-pub use standing::{Choices, Gauges, Standing};
+pub use settings::{
+    DeduplicationScope, DiscoveryMode, Idempotency, Limits, NotificationBounds, Prices, RequestClass,
+    Settings, Tenant, WeightMeaning,
+};
+pub use standing::{Choices, EndpointStatus, Gauges};
 pub use state::Balancer;
+pub use weighted_mean::WeightedMean;
--- a/crates/core/src/policy/attempts.rs
+++ b/crates/core/src/policy/attempts.rs
@@ -20,17 +20,17 @@
     pub(crate) fn send(&mut self, now: Millis, id: RequestId, k: usize, out: &mut Vec<Action>) {
         if let Some(broken) = self.broken_by_send(now, id, k) {
             self.violations.record(broken);
-            return self.answer(id, RefusalReason::Violation, out); // it is owed its answer all the same
+            return self.answer(id, RejectionReason::Violation, out); // it is owed its answer all the same
         }
         // Did it find the server idle? Only others' word tells.
-        let lone = self.cfg.may_tell && self.news < NEWS * self.mean && self.servers[k].held() == 0;
+        let lone = self.cfg.gossip_enabled && self.news < NEWS * self.mean && self.servers[k].held() == 0;
         let begin_by = self.requests.get(&id).and_then(|r| self.bound(r)).map(|(.., until)| until);
         self.begin(now, id, k, lone);
         let s = &mut self.servers[k];
         s.progress = if s.own == 0 { now } else { s.progress };
         s.own += u32::from(!self.requests[&id].uploading);
         s.tokens -= 1.0;
-        out.push(Action::Send { request: id, backend: s.info.id, timeout: None, begin_by });
+        out.push(Action::Send { request: id, endpoint: s.info.id, timeout: None, start_by: begin_by });
         self.place(k, now);
     }
 
@@ -51,23 +51,23 @@
         } else {
             self.servers[k].own -= u32::from(!silent); // a silent one gave it back before
         }
-        if !matches!(outcome, Outcome::Moot | Outcome::Cancelled) {
+        if !matches!(outcome, Outcome::Withdrawn | Outcome::Cancelled) {
             self.success += (f64::from(u8::from(outcome == Outcome::Served)) - self.success) / CLASS_SAMPLES;
         }
         // One sent shortly before its client gave up had no fair chance: that it timed out proves nothing.
         let fair = FAIR * self.class_ms[class].0 * size * self.servers[k].slow.0 / self.servers[k].warmth;
         match outcome {
             Outcome::Served => {
-                self.fit_window(latency < LATE * self.cfg.classes[class].aim);
+                self.fit_window(latency < LATE * self.cfg.classes[class].latency_objective);
                 self.learn(k, class, latency / size, home == Some(k), lone);
                 self.judge(k, class, true, false, now);
             }
-            Outcome::Moot | Outcome::Cancelled => {}
+            Outcome::Withdrawn | Outcome::Cancelled => {}
             _ if silent => {}                         // blamed already
             Outcome::TimedOut if latency < fair => {} // not to blame
-            _ => self.judge(k, class, false, outcome == Outcome::Full, now),
+            _ => self.judge(k, class, false, outcome == Outcome::Rejected, now),
         }
-        if outcome == Outcome::Full {
+        if outcome == Outcome::Rejected {
             self.fit_window(false);
         }
         self.place(k, now);
@@ -79,30 +79,33 @@
         let time = now + self.usual(r) < r.due - MARGIN;
         // No storms: further attempts come out of a budget that arrivals fill. One that was withdrawn before
         // anything was sent has cost no server anything, and the next one is free.
-        let price = if outcome == Outcome::Moot { 0.0 } else { 1.0 };
+        let price = if outcome == Outcome::Withdrawn { 0.0 } else { 1.0 };
         if time && self.may_repeat(r, now) && self.retries >= price {
             self.retries -= price;
             self.enqueue(id, true);
         } else {
-            self.answer(id, RefusalReason::AttemptsExhausted, out);
+            self.answer(id, RejectionReason::AttemptsExhausted, out);
         }
     }
 
     /// Gives the final answer: a refusal where it surely had no effect, else a failure.
-    pub(crate) fn answer(&mut self, id: RequestId, reason: RefusalReason, out: &mut Vec<Action>) {
+    pub(crate) fn answer(&mut self, id: RequestId, reason: RejectionReason, out: &mut Vec<Action>) {
         let after = self.comeback(id);
         self.answer_after(id, after, reason, out);
     }
 
     /// The same; a refused client should come back after that span.
     pub(crate) fn answer_after(
-        &mut self, id: RequestId, after: Millis, reason: RefusalReason, out: &mut Vec<Action>,
+        &mut self, id: RequestId, after: Millis, reason: RejectionReason, out: &mut Vec<Action>,
     ) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.done && !r.started) else { return };
-        let effect = self.cfg.classes[r.class].effect;
-        let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+        let idempotency = self.cfg.classes[r.class].idempotency;
+        let harmless = matches!(
+            idempotency,
+            Idempotency::Always | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
+        );
         let harmless = harmless || !r.may_have_run();
-        let refuse = Action::Refuse { request: id, retry_after: Some(after), reason };
+        let refuse = Action::Reject { request: id, retry_after: Some(after), reason };
         out.push(if harmless { refuse } else { Action::Fail(id) });
         self.finish(id);
     }
@@ -120,7 +123,7 @@
         if r.uploading {
             return f64::INFINITY; // its client still sends
         }
-        let late = self.cfg.classes[r.class].late_worth > 0.0;
+        let late = self.cfg.classes[r.class].late_fraction > 0.0;
         let crowded = r.waiting && self.waiting > self.running.len();
         if late && !crowded { r.due } else { r.aim.min(r.due) }
     }
@@ -139,7 +142,7 @@
 
     /// Whether another attempt is allowed, by the request's effect and the count of attempts.
     pub(crate) fn may_repeat(&self, r: &Request, now: Millis) -> bool {
-        let harmless = self.cfg.classes[r.class].effect == Effect::Safe || !r.may_have_run();
+        let harmless = self.cfg.classes[r.class].idempotency == Idempotency::Always || !r.may_have_run();
         let dropped = || self.bound(r).is_some_and(|(.., until)| now < until);
         !r.spent && (harmless || dropped()) && r.attempts.len() < r.most
     }
@@ -150,36 +153,38 @@
             let late = |r: &Request| now + MARGIN.max(0.5 * self.usual(r)) > self.end(r);
             let useless = |id: &RequestId| self.requests.get(id).is_some_and(|r| r.waiting && late(r));
             let ids: Vec<RequestId> = self.queues[q].iter().copied().filter(useless).collect();
-            ids.into_iter().for_each(|id| self.answer(id, RefusalReason::TooLate, out));
+            ids.into_iter().for_each(|id| self.answer(id, RejectionReason::TooLate, out));
         }
     }
 
     /// For a keyed request that may have run: the server tried first, who drops repeats, and until when.
-    pub(crate) fn bound(&self, r: &Request) -> Option<(usize, Group, Millis)> {
-        let Effect::Keyed { group, window } = self.cfg.classes[r.class].effect else { return None };
+    pub(crate) fn bound(&self, r: &Request) -> Option<(usize, DeduplicationScope, Millis)> {
+        let Idempotency::WithKey { scope: group, window } = self.cfg.classes[r.class].idempotency else {
+            return None;
+        };
         r.attempts.iter().find(|a| a.ran).map(|a| (a.server, group, a.sent + window))
     }
 
     /// Notes how far a body is that is sent on while it comes. Until its last byte a server has no work with it, and
     /// none of its slots is taken.
-    pub(crate) fn upload(&mut self, now: Millis, id: RequestId, stage: Upload) {
+    pub(crate) fn upload(&mut self, now: Millis, id: RequestId, stage: UploadStage) {
         let Some(r) = self.requests.get_mut(&id) else { return };
         match stage {
-            Upload::Spent => r.spent = true,
-            Upload::Begun if !r.uploading => (r.uploading, r.begun) = (true, now),
-            Upload::Whole if r.uploading => {
+            UploadStage::NotReplayable => r.spent = true,
+            UploadStage::Started if !r.uploading => (r.uploading, r.begun) = (true, now),
+            UploadStage::Complete if r.uploading => {
                 let late = now - r.begun;
                 (r.aim, r.due, r.uploading) = (r.aim + late, r.due + late, false);
             }
-            Upload::Begun | Upload::Whole => return,
+            UploadStage::Started | UploadStage::Complete => return,
         }
         let out = r.attempts.iter_mut().filter(|a| !a.over && !a.silent);
         for k in out.map(|a| (a.sent = now, a.server).1).collect::<Vec<_>>() {
             let own = &mut self.servers[k].own;
             match stage {
-                Upload::Begun => *own -= 1,
-                Upload::Whole => *own += 1,
-                Upload::Spent => {}
+                UploadStage::Started => *own -= 1,
+                UploadStage::Complete => *own += 1,
+                UploadStage::NotReplayable => {}
             }
             self.place(k, now);
         }
--- a/crates/core/src/policy/discovery.rs
+++ b/crates/core/src/policy/discovery.rs
@@ -29,17 +29,17 @@
     pub(crate) fn discover(&mut self, now: Millis, event: DiscoveryEvent, out: &mut Vec<Action>) {
         match event {
             DiscoveryEvent::Moved => {
-                let assumed_by = now + self.cfg.staleness.unwrap_or_default().moved;
+                let assumed_by = now + self.cfg.notification_bounds.unwrap_or_default().after_move;
                 if let Some(call) = self.subscription.moved(now, assumed_by) {
                     out.push(Action::Unsubscribe { call, reason: CancelReason::Moved });
                 }
             }
-            DiscoveryEvent::Succeeded => {
-                let assumed_by = now + self.cfg.staleness.unwrap_or_default().succeeded;
+            DiscoveryEvent::TakeoverStarted => {
+                let assumed_by = now + self.cfg.notification_bounds.unwrap_or_default().after_takeover;
                 self.subscription.assume_by(assumed_by);
             }
             DiscoveryEvent::Connected(call) => self.subscription.connected(call),
-            DiscoveryEvent::Update { call, read_at, version, whole, entries } => {
+            DiscoveryEvent::Update { call, read_at, version, complete: whole, entries } => {
                 match self.subscription.admission(call, version, whole) {
                     Admission::Apply => {
                         self.heard_discovery(call, read_at, Some(version), out);
@@ -65,25 +65,25 @@
     }
 
     /// Takes in a list by a transport that loses none, or from memory.
-    pub(crate) fn list(&mut self, now: Millis, scope: Scope, entries: Vec<Backend>) {
+    pub(crate) fn list(&mut self, now: Millis, scope: ListScope, entries: Vec<Endpoint>) {
         let call = self.subscription.call();
         match (scope, call) {
-            (Scope::Failed, Some(call)) => {
+            (ListScope::Failed, Some(call)) => {
                 self.subscription.ended(call, now, CallEnd::Closed);
                 self.put_off_call(now);
             }
-            (Scope::Full | Scope::Delta, Some(call)) => {
+            (ListScope::Full | ListScope::Delta, Some(call)) => {
                 self.subscription.heard(call, now, None);
             }
-            (_, None) | (Scope::Cached, _) => {}
+            (_, None) | (ListScope::Cached, _) => {}
         }
-        if scope != Scope::Failed {
-            self.apply_list(now, scope == Scope::Full, entries);
+        if scope != ListScope::Failed {
+            self.apply_list(now, scope == ListScope::Full, entries);
         }
     }
 
     /// Notes the lines of a list, and what follows from them for each server.
-    pub(crate) fn apply_list(&mut self, now: Millis, whole: bool, entries: Vec<Backend>) {
+    pub(crate) fn apply_list(&mut self, now: Millis, whole: bool, entries: Vec<Endpoint>) {
         for k in self.record_all(now, whole, entries) {
             let s = &mut self.servers[k];
             if s.restarted {
@@ -99,12 +99,12 @@
 
     /// Gives up a call that takes too long, and makes the next one when it is due.
     pub(crate) fn follow_discovery(&mut self, now: Millis, out: &mut Vec<Action>) {
-        if self.cfg.staleness.is_some()
+        if self.cfg.notification_bounds.is_some()
             && let Some(reason) = self.overdue(now)
         {
             self.give_up_call(now, reason, out);
         }
-        let calls = self.cfg.staleness.is_some() || self.cfg.discovery == Discovery::OnRequest;
+        let calls = self.cfg.notification_bounds.is_some() || self.cfg.discovery == DiscoveryMode::OnRequest;
         if let Phase::Disconnected { retry_at } = self.subscription.phase
             && calls
             && now >= retry_at
@@ -144,8 +144,8 @@
     /// longer that lasts, and never by all proxies at once. A list about to become stale is asked for sooner.
     fn put_off_call(&mut self, now: Millis) {
         let (least, most) = match self.cfg.discovery {
-            Discovery::Pushed => BACKOFF_PUSHED,
-            Discovery::OnRequest => BACKOFF,
+            DiscoveryMode::Pushed => BACKOFF_PUSHED,
+            DiscoveryMode::OnRequest => BACKOFF,
         };
         let most = if self.subscription.unreachable { most.min(BACKOFF_UNREACHABLE) } else { most };
         let doublings = self.subscription.failures.saturating_sub(1).min(16);
@@ -159,9 +159,13 @@
     /// Until when requests may be sent by the list that is held: no change that it lacks can have counted as known for
     /// longer than the grace before that.
     pub fn list_valid_until(&self) -> Millis {
-        let Some(staleness) = &self.cfg.staleness else { return Millis::INFINITY };
+        let Some(notification_bounds) = &self.cfg.notification_bounds else { return Millis::INFINITY };
         let limits = &self.cfg.limits;
-        let assumed_at = self.subscription.assumed_at(self.cfg.discovery, staleness, limits.ask_within);
+        let assumed_at = self.subscription.assumed_at(
+            self.cfg.discovery,
+            notification_bounds,
+            limits.notified_without_watch,
+        );
         assumed_at + limits.drain_grace - STALE_MARGIN
     }
 
@@ -181,7 +185,7 @@
         for id in waiting {
             if self.requests.get(&id).is_some_and(|r| r.waiting) {
                 let after = STALE_RETRY * (0.75 + 0.5 * draw(id.0, 0));
-                self.answer_after(id, after, RefusalReason::StaleList, out);
+                self.answer_after(id, after, RejectionReason::StaleList, out);
             }
         }
         let requests = &self.requests;
--- a/crates/core/src/policy/peers.rs
+++ b/crates/core/src/policy/peers.rs
@@ -38,7 +38,7 @@
     pub(crate) fn tell(&mut self, now: Millis, out: &mut Vec<Action>) {
         let cost = (HEAD + 2 * (self.running.len() + self.ghosts.len())) as f64;
         let due = self.credit >= cost || now - self.told_at > STALE / 2.0;
-        if self.cfg.may_tell && self.cfg.proxies > 1 && due {
+        if self.cfg.gossip_enabled && self.cfg.proxies > 1 && due {
             self.news += 0.1 * (now - self.told_at - self.news); // others tell about as often
             (self.credit, self.told_at) = (self.credit - cost, now);
             let (zone, leaving) = (self.cfg.zone, self.overlay.leaving);
--- a/crates/core/src/policy/queue.rs
+++ b/crates/core/src/policy/queue.rs
@@ -12,28 +12,28 @@
 #[allow(clippy::too_many_arguments)]
 impl Balancer {
     pub(crate) fn arrive(
-        &mut self, now: Millis, id: RequestId, class: usize, tenant: Option<TenantId>, key: Option<Key>,
-        budget: Millis, hint: Option<Millis>, out: &mut Vec<Action>,
+        &mut self, now: Millis, id: RequestId, class: usize, tenant: Option<TenantId>,
+        key: Option<AffinityKey>, budget: Millis, expected_cost: Option<Millis>, out: &mut Vec<Action>,
     ) {
         self.arrivals += 1.0;
         self.retries = (self.retries + RETRY_SHARE).min(20.0);
         self.credit = (self.credit + TELL_SHARE * MESSAGE as f64 / f64::from(self.cfg.proxies))
             .min(2.0 * MESSAGE as f64);
         let over_share = tenant.is_some_and(|t| !self.within_share(t.0));
-        let home = key.filter(|_| self.cfg.warm_keys).and_then(|key| self.home(key, now));
-        let (size, aim) = self.size_and_aim(class, hint);
+        let home = key.filter(|_| self.cfg.key_affinity).and_then(|key| self.home(key, now));
+        let (size, aim) = self.size_and_aim(class, expected_cost);
         let (aim, key) = (now + aim.min(budget), key.map_or(0, |k| k.0));
         let mut request = Request::new(class, size, over_share, aim, now + budget, key, home);
         request.most = self.cfg.limits.max_attempts as usize;
         self.requests.insert(id, request);
         if budget < MARGIN {
-            return self.answer(id, RefusalReason::TooLate, out); // the next look could come too late
+            return self.answer(id, RejectionReason::TooLate, out); // the next look could come too late
         }
         self.enqueue(id, false);
     }
 
     /// The server that a key's requests prefer: the same at every proxy, without a word between them.
-    pub(crate) fn home(&mut self, key: Key, now: Millis) -> Option<usize> {
+    pub(crate) fn home(&mut self, key: AffinityKey, now: Millis) -> Option<usize> {
         let up = |s: &Server| s.told.is_none() && (s.health.closed <= now || self.doubt);
         let near = |a: &usize, b: &usize| self.score(*a, key.0).total_cmp(&self.score(*b, key.0));
         (0..self.servers.len()).filter(|&k| up(&self.servers[k])).min_by(near)
@@ -71,8 +71,8 @@
     /// What a request is worth for the time it takes.
     pub(crate) fn value(&self, r: &Request) -> f64 {
         let (c, work) = (&self.cfg.classes[r.class], self.class_ms[r.class].0.max(0.1) * r.size);
-        let worth = if self.cfg.worth_by_work { c.worth * r.size } else { c.worth };
-        worth / work * if r.over_share { self.cfg.over_share_worth } else { 1.0 }
+        let worth = if self.cfg.weight_per_work { c.priority_weight * r.size } else { c.priority_weight };
+        worth / work * if r.over_share { self.cfg.over_quota_fraction } else { 1.0 }
     }
 
     /// How pressing a request is: its value, discounted by its slack. Worth decides under overload, urgency
@@ -80,14 +80,14 @@
     pub(crate) fn press(&self, r: &Request, now: Millis) -> f64 {
         let (c, work) = (&self.cfg.classes[r.class], self.class_ms[r.class].0.max(0.1) * r.size);
         let slack = r.aim - now - work;
-        let part = if slack < 0.0 { c.late_worth } else { 1.0 };
-        part * self.value(r) * (-slack.max(0.0) / (SLACK_SCALE * c.aim.max(1.0))).exp()
+        let part = if slack < 0.0 { c.late_fraction } else { 1.0 };
+        part * self.value(r) * (-slack.max(0.0) / (SLACK_SCALE * c.latency_objective.max(1.0))).exp()
     }
 
     /// Gives up what waits beyond the requests that may be held, the least valuable first and among their
     /// like the last to come, which would wait longest. Held on, they would keep better ones out.
     pub(crate) fn shed(&mut self, out: &mut Vec<Action>) {
-        let most = self.cfg.limits.most_held;
+        let most = self.cfg.limits.max_open_requests;
         let over =
             |s: &Self| s.requests.len() > most && s.requests.values().filter(|r| !r.done).count() > most;
         while self.waiting > 0 && over(self) {
@@ -95,7 +95,7 @@
             let last = self.queues.iter().filter_map(|q| q.iter().rev().find(waits));
             let value = |id: &RequestId| self.value(&self.requests[id]);
             let Some(&id) = last.min_by(|a, b| value(a).total_cmp(&value(b))) else { return };
-            self.answer(id, RefusalReason::Overload, out);
+            self.answer(id, RejectionReason::Overload, out);
         }
     }
 
--- a/crates/core/src/policy/slots.rs
+++ b/crates/core/src/policy/slots.rs
@@ -40,8 +40,8 @@
         let cold = s.fresh && warmth < 1.0;
         let allowed = usable && (!s.health.trial || s.own == 0) && (!cold || s.tokens >= 1.0);
         let (held, room) = (s.load(self.cfg.zone), s.room * warmth);
-        let own = allowed && f64::from(s.own) < s.mine.max(if self.cfg.warm_keys { 1.0 } else { 0.0 });
-        let (free, open) = if !self.cfg.may_tell {
+        let own = allowed && f64::from(s.own) < s.mine.max(if self.cfg.key_affinity { 1.0 } else { 0.0 });
+        let (free, open) = if !self.cfg.gossip_enabled {
             (own, own.then_some(band)) // no word from others: only what is surely this proxy's
         } else if own && held < room && s.mine > 0.0 {
             (true, Some(band))
@@ -49,7 +49,7 @@
             // All proxies see the same idle slots of others. Each may borrow at a random part of the servers
             // only, drawn anew every few ticks, so that about one proxy comes for each idle slot.
             let chance = self.chance(k, held);
-            let lucky = draw(s.info.id.0 ^ ticks, u64::from(self.cfg.me)) < chance;
+            let lucky = draw(s.info.id.0 ^ ticks, u64::from(self.cfg.proxy_index)) < chance;
             let free = allowed && held + 0.5 < room;
             (free, (free && lucky).then(|| (band + BORROW).min(BANDS - 1)))
         };
@@ -64,7 +64,7 @@
     /// own leave long waits, in proportion to (1 + cv²) / slots (Pollaczek and Khinchine).
     pub(crate) fn pools(&self) -> bool {
         let own = self.mean_room * self.servers.len() as f64 / f64::from(self.cfg.proxies);
-        !self.cfg.may_tell && self.cfg.proxies > 1 && own < OWN_LEAST * self.spread.0 / 2.0
+        !self.cfg.gossip_enabled && self.cfg.proxies > 1 && own < OWN_LEAST * self.spread.0 / 2.0
     }
 
     /// Requests that this proxy may have out.
@@ -84,37 +84,38 @@
     pub(crate) fn size(&mut self, k: usize) {
         let s = &self.servers[k];
         // A rating is cores times speed; on the slowest kind a core has about the speed of the yardstick.
-        let rating = if self.cfg.rating == Rating::Size { s.info.rating } else { 1.0 };
-        let kind = &self.kinds[s.kind];
-        let cores = rating * (kind.core / self.slowest).min(1.0);
-        let (seen, blind) = ((FULLNESS * kind.throttle * cores).max(1.0), self.blindness());
+        let weight = if self.cfg.weight_meaning == WeightMeaning::Capacity { s.info.weight } else { 1.0 };
+        let machine_class = &self.kinds[s.machine_class];
+        let cores = weight * (machine_class.core / self.slowest).min(1.0);
+        let (seen, blind) = ((FULLNESS * machine_class.throttle * cores).max(1.0), self.blindness());
         let mine = if self.pools() {
             1.0 // one slot on every server
         } else {
             // Each slot belongs to one proxy, of the server's zone if there is one: no two see it open.
             f64::from(self.owned(k, (seen + draw(s.info.id.0, 0)).floor() as u32)) * self.part()
         };
-        self.kinds[s.kind].cores = cores.max(1.0);
+        self.kinds[s.machine_class].cores = cores.max(1.0);
         let s = &mut self.servers[k];
         (s.room, s.mine) = (seen + blind * BLIND, mine);
-        s.weight = 1.0 / (s.info.rating * s.warmth).max(1e-6);
+        s.weight = 1.0 / (s.info.weight * s.warmth).max(1e-6);
     }
 
     /// Which part of what servers hold is not known: others' attempts that began or ended since their word.
     /// Without any word slots are shared out in another way.
     pub(crate) fn blindness(&self) -> f64 {
         let others = 1.0 - 1.0 / f64::from(self.cfg.proxies);
-        if self.cfg.may_tell { others * (1.0 - (-self.news / self.mean).exp()) } else { 0.0 }
+        if self.cfg.gossip_enabled { others * (1.0 - (-self.news / self.mean).exp()) } else { 0.0 }
     }
 
     /// What a server can take from all proxies in an epoch: what it works off (Little), and what lacks to
     /// its room, made good no faster than it shows. Until its speed is known nothing is held back.
     pub(crate) fn supply(&self, k: usize, held: f64) -> f64 {
-        let (s, kind) = (&self.servers[k], &self.kinds[self.servers[k].kind]);
-        if kind.slow.1 < KIND_WEIGHT {
+        let (s, machine_class) = (&self.servers[k], &self.kinds[self.servers[k].machine_class]);
+        if machine_class.slow.1 < KIND_WEIGHT {
             return f64::INFINITY;
         }
-        let worked_off = held.max(kind.cores) * s.warmth / (self.mean * kind.slow.0.max(0.2));
+        let worked_off =
+            held.max(machine_class.cores) * s.warmth / (self.mean * machine_class.slow.0.max(0.2));
         (EPOCH * (worked_off + self.lacks(k, held))).max(0.0)
     }
 
@@ -126,7 +127,7 @@
     /// What all proxies want of it in an epoch for keys at home there, judged by this one's part. Those
     /// that wait here for it alone are too few to judge by: one of them would pass for one at each proxy.
     pub(crate) fn demand(&self, k: usize) -> f64 {
-        let part = self.staying() * self.servers[k].info.rating / self.rating;
+        let part = self.staying() * self.servers[k].info.weight / self.weight;
         part * (EPOCH * self.rate + self.crowd)
     }
 
@@ -146,7 +147,7 @@
         let rank = |r: &Request| (self.value(r), self.press(r, now));
         let ahead = |o: &&Request| o.waiting && rank(o) > rank(r);
         // Requests bear the same numbers everywhere, so the proxy's own goes in.
-        let own = draw(id.0, u64::from(self.cfg.me)).to_bits() ^ (self.ticks / REVIEW);
+        let own = draw(id.0, u64::from(self.cfg.proxy_index)).to_bits() ^ (self.ticks / REVIEW);
         let place = || self.requests.values().filter(ahead).count() as f64 + draw(own, s.info.id.0);
         s.free && (s.gate >= 1.0 || place() < s.gate * self.waiting as f64)
     }
@@ -165,17 +166,19 @@
     /// Gives kinds whose latency has left its calm level fewer slots, until it is back.
     pub(crate) fn calm_down(&mut self) {
         self.least.iter_mut().for_each(|l| *l *= CALM_CREEP);
-        for kind in self.kinds.iter_mut().filter(|k| k.slow.1 >= CALM_SAMPLES) {
+        for machine_class in self.kinds.iter_mut().filter(|k| k.slow.1 >= CALM_SAMPLES) {
             // Overfilled servers are slow all alike and look as if they had more cores: against that jam
             // a kind whose latency has left its calm level gets fewer slots until it is back.
-            let latency = kind.slow.0 * self.mean;
-            kind.throttle = if kind.calm.is_finite() { kind.throttle } else { 1.0 }; // at last measured
-            let creep = if kind.throttle > THROTTLE_MIN { CALM_CREEP } else { CALM_LEAP };
-            kind.calm = latency.min(kind.calm * creep);
-            kind.core = if kind.lone.1 >= KIND_WEIGHT { kind.lone.0 } else { kind.calm };
-            let calm = kind.calm.max(kind.core * (1.0 + 0.5 / kind.cores));
+            let latency = machine_class.slow.0 * self.mean;
+            machine_class.throttle =
+                if machine_class.calm.is_finite() { machine_class.throttle } else { 1.0 }; // at last measured
+            let creep = if machine_class.throttle > THROTTLE_MIN { CALM_CREEP } else { CALM_LEAP };
+            machine_class.calm = latency.min(machine_class.calm * creep);
+            machine_class.core =
+                if machine_class.lone.1 >= KIND_WEIGHT { machine_class.lone.0 } else { machine_class.calm };
+            let calm = machine_class.calm.max(machine_class.core * (1.0 + 0.5 / machine_class.cores));
             let step = (CROWDED * calm / latency).clamp(0.95, 1.02);
-            kind.throttle = (kind.throttle * step).clamp(THROTTLE_MIN, 1.0);
+            machine_class.throttle = (machine_class.throttle * step).clamp(THROTTLE_MIN, 1.0);
         }
         let cores = self.kinds.iter().map(|k| k.core).filter(|c| c.is_finite());
         self.slowest = cores.fold(0.0, f64::max);
@@ -189,7 +192,7 @@
     /// Whether a proxy has told of late that it sends its clients elsewhere: its slots are the others' meanwhile.
     /// One that is merely silent keeps them, as it may serve its clients all the same.
     pub(crate) fn leaves(&self, proxy: u32) -> bool {
-        match proxy == self.cfg.me {
+        match proxy == self.cfg.proxy_index {
             true => self.overlay.leaving,
             false => self.peers[proxy as usize].as_ref().is_some_and(|p| p.leaving),
         }
@@ -213,7 +216,7 @@
         let score = |slot: u32, i: u32| draw(info.id.0 ^ u64::from(slot), u64::from(i));
         let owner = |slot: &u32| {
             let proxies = (0..self.cfg.proxies).filter(|i| near(i) || !any);
-            proxies.max_by(|&a, &b| score(*slot, a).total_cmp(&score(*slot, b))) == Some(self.cfg.me)
+            proxies.max_by(|&a, &b| score(*slot, a).total_cmp(&score(*slot, b))) == Some(self.cfg.proxy_index)
         };
         (0..slots.min(MOST_SLOTS)).filter(owner).count() as u32
     }
--- a/crates/core/src/policy/speeds.rs
+++ b/crates/core/src/policy/speeds.rs
@@ -18,8 +18,8 @@
     /// Judges anew how fast a server is, crossings counted as a delay.
     pub(crate) fn rate(&mut self, k: usize, warmth: f64, now: Millis) {
         let s = &self.servers[k];
-        let kind = self.kinds[s.kind].slow.0;
-        let slow = (s.slow.0 * s.slow.1 + kind * KIND_WEIGHT) / (s.slow.1 + KIND_WEIGHT);
+        let machine_class = self.kinds[s.machine_class].slow.0;
+        let slow = (s.slow.0 * s.slow.1 + machine_class * KIND_WEIGHT) / (s.slow.1 + KIND_WEIGHT);
         let crosses = s.crosses(self.cfg.zone);
         let cross = PULL * self.cfg.prices.cross_zone * self.longest_aim / self.mean;
         let cost = slow / warmth + if crosses { cross } else { 0.0 };
@@ -47,12 +47,13 @@
         average(&mut s.slow, sample, SAMPLES);
         if warmth >= 1.0 {
             average(&mut self.class_ms[class], latency / (s.slow.0.max(0.05) * factor), CLASS_SAMPLES);
-            let kind = &mut self.kinds[s.kind];
+            let machine_class = &mut self.kinds[s.machine_class];
             // A few slow servers are not the kind, but the first answer is all that is known of it.
-            let usual = if kind.slow.1 > 0.0 { sample.min(OUTLIER * kind.slow.0) } else { sample };
-            average(&mut kind.slow, usual, CLASS_SAMPLES);
+            let usual =
+                if machine_class.slow.1 > 0.0 { sample.min(OUTLIER * machine_class.slow.0) } else { sample };
+            average(&mut machine_class.slow, usual, CLASS_SAMPLES);
             if lone {
-                average(&mut kind.lone, usual * self.mean, CLASS_SAMPLES);
+                average(&mut machine_class.lone, usual * self.mean, CLASS_SAMPLES);
             }
         }
     }
--- a/crates/core/src/policy/threshold.rs
+++ b/crates/core/src/policy/threshold.rs
@@ -43,7 +43,7 @@
             return best.filter(|_| now < until);
         }
         // A server back from a closing is tried with what may be repeated, if there is such traffic at all.
-        let safe_class = |c: &Class| c.effect == Effect::Safe;
+        let safe_class = |c: &RequestClass| c.idempotency == Idempotency::Always;
         let safe = safe_class(&self.cfg.classes[r.class]) || !self.safe_traffic;
         let home = r.home.filter(|&h| !r.tried(h));
         // Near its aim a request goes to any open server: holding it further would cost its worth.
@@ -95,7 +95,7 @@
             }
             // The home's slots are the faster ones, and those who wait for it over all proxies the queue.
             let n = self.staying();
-            let rho = self.rate * n * s.info.rating / self.rating * self.mean / (s.room * warm);
+            let rho = self.rate * n * s.info.weight / self.weight * self.mean / (s.room * warm);
             let tau = threshold(s.room, rho, warm / band.speed);
             let past = f64::from(s.wanted) * n > f64::from(tau);
             let choice = if urgent {
@@ -116,7 +116,7 @@
     pub(crate) fn suits(&self, k: usize, r: &Request, now: Millis) -> bool {
         let (s, l) = (&self.servers[k], &self.cfg.limits);
         let closed = s.by_class[r.class].closed > now && self.blocked[r.class] <= ALL_ILL;
-        let heavy = s.fresh && self.usual(r) > COLD_PART * l.fall_multiple * s.warmth * l.fall;
+        let heavy = s.fresh && self.usual(r) > COLD_PART * l.overload_multiple * s.warmth * l.overload_window;
         !r.tried(k) && !closed && !heavy
     }
 }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -21,7 +21,7 @@
 /// What is known of a server.
 #[derive(Default)]
 pub(crate) struct Server {
-    pub info: Backend,
+    pub info: Endpoint,
     pub wire_name: Option<u16>, // by which messages between proxies tell it
     pub told: Option<Millis>,   // when its drain or end was told
     pub own: u32,               // this proxy's attempts there, those given up but plausibly running included
@@ -39,7 +39,7 @@
     pub tokens: f64,            // sends that a cold server's budget still allows
     pub tokens_at: Millis,
     pub whole_at: Millis,          // when they last came to be enough for a send
-    pub kind: usize,               // its kind of machine; 0 if none is told
+    pub machine_class: usize,      // its kind of machine; 0 if none is told
     pub room: f64,                 // slots for all proxies together
     pub mine: f64,                 // those of them that are this proxy's own
     pub band: usize,               // the speed band of that cost
@@ -56,7 +56,7 @@
 }
 
 impl Server {
-    pub fn new(info: Backend, classes: usize, now: Millis) -> Self {
+    pub fn new(info: Endpoint, classes: usize, now: Millis) -> Self {
         let (health, slow) = (Health::clean(now), (1.0, 0.0));
         let mut s =
             Server { info, slow, by_class: vec![health.clone(); classes], health, ..Server::default() };
@@ -66,11 +66,11 @@
     }
 
     /// Whether it is in one group with the server of an earlier attempt.
-    pub fn drops_repeats_of(&self, first: &Server, group: Group) -> bool {
+    pub fn drops_repeats_of(&self, first: &Server, group: DeduplicationScope) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => first.info.zone.is_some() && self.info.zone == first.info.zone,
-            Group::Cell => first.info.cell.is_some() && self.info.cell == first.info.cell,
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => first.info.zone.is_some() && self.info.zone == first.info.zone,
+            DeduplicationScope::Cell => first.info.cell.is_some() && self.info.cell == first.info.cell,
         }
     }
 
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings/json.rs
@@ -1,21 +1,13 @@
-//! The start-up parameters, from JSON to [`Settings`].
+//! Reads the operators' settings, JSON whose keys are theirs, into [`Settings`].
 
 use serde_json::Value;
 
-use crate::{Class, Discovery, Effect, Group, Limits, Millis, Prices, Rating, Settings, Tenant, ZoneId};
-
-/// The names that later lines refer to.
-#[derive(Clone, Debug, Default)]
-pub struct Names {
-    /// Classes, in the order of [`Settings::classes`].
-    pub classes: Vec<String>,
-    /// Tenants, in the order of [`Settings::tenants`].
-    pub tenants: Vec<String>,
-    /// Zones, those met later included.
-    pub zones: Vec<String>,
-    /// Kinds of machine, those met later included.
-    pub kinds: Vec<String>,
-}
+use crate::ids::{Millis, ZoneId};
+use crate::names::{Names, intern};
+use crate::settings::{
+    DeduplicationScope, DiscoveryMode, Idempotency, Limits, Prices, RequestClass, Settings, Tenant,
+    WeightMeaning,
+};
 
 /// What concerns connections and no decision.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,19 +18,6 @@
     pub idle_close: Millis,
 }
 
-/// The same number for the same name at every proxy (FNV-1a).
-pub fn number_of(name: &str) -> u64 {
-    name.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
-}
-
-/// Where `name` stands among `names`; a new name is added.
-pub fn index_of(names: &mut Vec<String>, name: &str) -> usize {
-    names.iter().position(|n| n == name).unwrap_or_else(|| {
-        names.push(name.to_owned());
-        names.len() - 1
-    })
-}
-
 fn number(value: &Value, key: &str, default: f64) -> f64 {
     value[key].as_f64().filter(|x| x.is_finite() && *x >= 0.0).unwrap_or(default)
 }
@@ -59,30 +38,30 @@
     list(value, key).iter().filter_map(Value::as_str).map(str::to_owned).collect()
 }
 
-fn class(value: &Value) -> Class {
+fn class(value: &Value) -> RequestClass {
     let deadline = number(value, "deadline", 1000.0);
-    Class {
-        aim: number(value, "promise", deadline).min(deadline),
+    RequestClass {
+        latency_objective: number(value, "promise", deadline).min(deadline),
         deadline,
-        aim_stretch: number(value, "aimStretch", 0.0),
-        worth: number(value, "worth", 1.0),
-        late_worth: number(value, "lateShare", 0.0),
+        objective_stretch: number(value, "aimStretch", 0.0),
+        priority_weight: number(value, "worth", 1.0),
+        late_fraction: number(value, "lateShare", 0.0),
         // What is not known to be repeatable must never run twice.
-        effect: match text(value, "effect") {
-            "idempotent" => Effect::Safe,
+        idempotency: match text(value, "effect") {
+            "idempotent" => Idempotency::Always,
             "deduplicated" => match text(value, "dedupScope") {
-                "all" => keyed(value, Group::All),
-                "zone" => keyed(value, Group::Zone),
-                "cell" => keyed(value, Group::Cell),
-                _ => Effect::Unsafe,
+                "all" => keyed(value, DeduplicationScope::All),
+                "zone" => keyed(value, DeduplicationScope::Zone),
+                "cell" => keyed(value, DeduplicationScope::Cell),
+                _ => Idempotency::Never,
             },
-            _ => Effect::Unsafe,
+            _ => Idempotency::Never,
         },
     }
 }
 
-fn keyed(value: &Value, group: Group) -> Effect {
-    Effect::Keyed { group, window: number(value, "window", 0.0) }
+fn keyed(value: &Value, scope: DeduplicationScope) -> Idempotency {
+    Idempotency::WithKey { scope, window: number(value, "window", 0.0) }
 }
 
 /// Reads the figures that concern connections from the same object.
@@ -139,42 +118,42 @@
         classes: list(all, "classes").iter().map(|c| text(c, "name").to_owned()).collect(),
         tenants: list(all, "accounts").iter().map(|t| text(t, "name").to_owned()).collect(),
         zones: strings(all, "zones"),
-        kinds: strings(all, "flavors"),
+        machine_classes: strings(all, "flavors"),
     };
     let (ceilings, rules, prices) = (&all["ceilings"], &all["rules"], &all["prices"]);
-    let zone = all["zone"].as_str().map(|z| ZoneId(index_of(&mut names.zones, z) as u32));
+    let zone = all["zone"].as_str().map(|z| ZoneId(intern(&mut names.zones, z) as u32));
     let settings = Settings {
-        me: number(all, "myNumber", 0.0) as u32,
+        proxy_index: number(all, "myNumber", 0.0) as u32,
         proxies: number(all, "nInstances", 1.0).clamp(1.0, 65_536.0) as u32,
         zone,
         classes: list(all, "classes").iter().map(class).collect(),
         tenants: list(all, "accounts")
             .iter()
-            .map(|t| Tenant { allowance_per_s: number(t, "allowancePerS", f64::MAX) })
+            .map(|t| Tenant { quota_per_second: number(t, "allowancePerS", f64::MAX) })
             .collect(),
-        over_share_worth: number(all, "overShareWorth", 1.0),
-        worth_by_work: text(all, "worthBy") == "work",
+        over_quota_fraction: number(all, "overShareWorth", 1.0),
+        weight_per_work: text(all, "worthBy") == "work",
         discovery: match text(all, "discovery") {
-            "on_request" => Discovery::OnRequest,
-            _ => Discovery::Pushed,
+            "on_request" => DiscoveryMode::OnRequest,
+            _ => DiscoveryMode::Pushed,
         },
-        rating: match text(all, "weightSource") {
-            "nominal" | "rough" => Rating::Size,
-            "live" => Rating::Live,
-            _ => Rating::Silent,
+        weight_meaning: match text(all, "weightSource") {
+            "nominal" | "rough" => WeightMeaning::Capacity,
+            "live" => WeightMeaning::CapacityUnderLoad,
+            _ => WeightMeaning::Unknown,
         },
-        warm_keys: flag(&all["extra"], "warmKeys", false),
-        may_tell: flag(ceilings, "mayTell", false),
+        key_affinity: flag(&all["extra"], "warmKeys", false),
+        gossip_enabled: flag(ceilings, "mayTell", false),
         prices: Prices { cross_zone: number(prices, "crossZone", 0.0) },
-        staleness: None,
+        notification_bounds: None,
         limits: Limits {
             drain_grace: number(rules, "drainGrace", 0.0),
-            ask_within: number(rules, "askWithin", Millis::INFINITY),
-            start_capacity: number(rules, "startCapacity", 0.0),
-            cold: number(rules, "cold", 30_000.0),
-            fall_multiple: number(rules, "fallMultiple", 1.0),
-            fall: number(rules, "fall", 1000.0),
-            most_held: usize::MAX,
+            notified_without_watch: number(rules, "askWithin", Millis::INFINITY),
+            initial_capacity: number(rules, "startCapacity", 0.0),
+            slow_start_window: number(rules, "cold", 30_000.0),
+            overload_multiple: number(rules, "fallMultiple", 1.0),
+            overload_window: number(rules, "fall", 1000.0),
+            max_open_requests: usize::MAX,
             max_attempts: number(ceilings, "maxAttempts", 1.0).max(1.0) as u32,
         },
     };
--- a/crates/core/src/standing.rs
+++ b/crates/core/src/standing.rs
@@ -4,7 +4,7 @@
 
 /// How a listed server is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// It gets requests.
     InUse,
     /// It has just started and gets what its budget allows.
@@ -23,36 +23,36 @@
     Maintenance,
 }
 
-impl Standing {
+impl EndpointStatus {
     /// All of them.
-    pub const ALL: [Standing; 8] = [
-        Standing::InUse,
-        Standing::Cold,
-        Standing::Trial,
-        Standing::Ill,
-        Standing::Full,
-        Standing::Blamed,
-        Standing::Draining,
-        Standing::Maintenance,
+    pub const ALL: [EndpointStatus; 8] = [
+        EndpointStatus::InUse,
+        EndpointStatus::Cold,
+        EndpointStatus::Trial,
+        EndpointStatus::Ill,
+        EndpointStatus::Full,
+        EndpointStatus::Blamed,
+        EndpointStatus::Draining,
+        EndpointStatus::Maintenance,
     ];
 
     /// Its name in figures.
     pub fn name(self) -> &'static str {
         match self {
-            Standing::InUse => "in_use",
-            Standing::Cold => "cold",
-            Standing::Trial => "trial",
-            Standing::Ill => "ill",
-            Standing::Full => "full",
-            Standing::Blamed => "blamed",
-            Standing::Draining => "draining",
-            Standing::Maintenance => "maintenance",
+            EndpointStatus::InUse => "in_use",
+            EndpointStatus::Cold => "cold",
+            EndpointStatus::Trial => "trial",
+            EndpointStatus::Ill => "ill",
+            EndpointStatus::Full => "full",
+            EndpointStatus::Blamed => "blamed",
+            EndpointStatus::Draining => "draining",
+            EndpointStatus::Maintenance => "maintenance",
         }
     }
 
     /// Whether such a server gets nothing at all.
     pub fn is_avoided(self) -> bool {
-        !matches!(self, Standing::InUse | Standing::Cold | Standing::Trial)
+        !matches!(self, EndpointStatus::InUse | EndpointStatus::Cold | EndpointStatus::Trial)
     }
 }
 
@@ -69,8 +69,8 @@
 /// What holds now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Listed servers by how they are treated, in the order of [`Standing::ALL`].
-    pub standings: [usize; Standing::ALL.len()],
+    /// Listed servers by how they are treated, in the order of [`EndpointStatus::ALL`].
+    pub standings: [usize; EndpointStatus::ALL.len()],
     /// Whether requests may be sent by the server list that is held.
     pub list_valid: bool,
     /// Requests in the proxy's own queue.
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -21,7 +21,7 @@
     pub(crate) rng: fastrand::Rng,
     pub(crate) servers: Vec<Server>,
     pub(crate) vacant: Vec<usize>, // places of servers that have left and that nothing refers to
-    pub(crate) index: FxHashMap<BackendId, usize>,
+    pub(crate) index: FxHashMap<EndpointId, usize>,
     pub(crate) names: WireNames,
     pub(crate) bands: Bands,
     pub(crate) requests: FxHashMap<RequestId, Request>,
@@ -39,7 +39,7 @@
     pub(crate) mean_room: f64,     // slots of a mean server
     pub(crate) mean: Millis,       // mean latency over all classes
     pub(crate) slowest: f64,       // calm latency of the slowest kind
-    pub(crate) rating: f64,        // sum of the ratings of listed servers
+    pub(crate) weight: f64,        // sum of the ratings of listed servers
     pub(crate) gain: f64,          // how much faster a warm server is
     pub(crate) temper: [(f64, f64); 2], // mean relative latency away from home and at home, and its weight
     pub(crate) arrivals: f64,
--- a/crates/core/src/subscription.rs
+++ b/crates/core/src/subscription.rs
@@ -245,13 +245,16 @@
     }
 
     /// When a change that is unknown here may first count as known.
-    pub fn assumed_at(&self, discovery: Discovery, staleness: &Staleness, ask_within: Millis) -> Millis {
+    pub fn assumed_at(
+        &self, discovery: DiscoveryMode, notification_bounds: &NotificationBounds,
+        notified_without_watch: Millis,
+    ) -> Millis {
         let watched = self.is_synchronised() || self.former.is_some();
-        let missed = self.complete_to + staleness.assumed_after;
+        let missed = self.complete_to + notification_bounds.after_change;
         let assumed = match (watched, discovery) {
             (true, _) => missed,
-            (false, Discovery::OnRequest) => missed.min(self.complete_to + ask_within),
-            (false, Discovery::Pushed) => missed.min(self.unwatched_since),
+            (false, DiscoveryMode::OnRequest) => missed.min(self.complete_to + notified_without_watch),
+            (false, DiscoveryMode::Pushed) => missed.min(self.unwatched_since),
         };
         self.assumed_by.map_or(assumed, |by| by.min(assumed))
     }
--- a/crates/core/src/wire_names.rs
+++ b/crates/core/src/wire_names.rs
@@ -31,11 +31,11 @@
 
     /// Gives all servers their names anew. One that has left the list keeps its first hash if no listed one has it:
     /// requests may still be out there.
-    pub fn assign(&mut self, places: &FxHashMap<BackendId, usize>, servers: &mut [Server]) {
+    pub fn assign(&mut self, places: &FxHashMap<EndpointId, usize>, servers: &mut [Server]) {
         self.outdated = false;
         self.owners.clear();
         places.values().for_each(|&k| servers[k].wire_name = None);
-        let is_listed = |k: &usize| servers[*k].info.state != State::Gone;
+        let is_listed = |k: &usize| servers[*k].info.state != EndpointState::Removed;
         let (mut unnamed, gone): (Vec<usize>, Vec<usize>) = places.values().copied().partition(is_listed);
         for round in 0..ROUNDS {
             unnamed = self.propose(round, unnamed, servers);
@@ -81,6 +81,6 @@
 }
 
 /// One of the hashes of an id, by its number.
-fn hash(id: BackendId, round: u64) -> u16 {
+fn hash(id: EndpointId, round: u64) -> u16 {
     mix(id.0 ^ mix(round)) as u16
 }
--- a/crates/core/tests/choice.rs
+++ b/crates/core/tests/choice.rs
@@ -4,7 +4,7 @@
 use leadrelay_core::*;
 
 fn refusals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
 }
 
 /// Sends `n` unsafe requests and returns how many went out at once.
@@ -21,7 +21,7 @@
 
 #[test]
 fn holds_for_a_faster_server_and_sends_when_the_queue_outgrows_the_threshold() {
-    let list = vec![server(1), Backend { kind: Some(KindId(1)), ..server(2) }];
+    let list = vec![server(1), Endpoint { machine_class: Some(MachineClassId(1)), ..server(2) }];
     let mut hand = Hand::new(settings(1), list);
     hand.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
     hand.pass(300.0);
@@ -33,7 +33,10 @@
     // The threshold lets the first of the held go only when the queue has grown.
     let spilled = 1000 + fast as u64;
     assert_eq!(sent[fast], (spilled, 2), "the oldest goes: {sent:?}");
-    let mut again = Hand::new(settings(1), vec![server(1), Backend { kind: Some(KindId(1)), ..server(2) }]);
+    let mut again = Hand::new(
+        settings(1),
+        vec![server(1), Endpoint { machine_class: Some(MachineClassId(1)), ..server(2) }],
+    );
     again.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
     again.pass(300.0);
     let short = burst(&mut again, 1000, fast as u64 + 3);
@@ -84,7 +87,7 @@
         let mut attempt = 0;
         while let Some((of, _)) = sent.pop() {
             tries += 1;
-            let out = hand.give(ended(of, attempt, 1.0, Outcome::Full));
+            let out = hand.give(ended(of, attempt, 1.0, Outcome::Rejected));
             attempt += 1;
             sent = sends(&out);
             if sent.first().is_some_and(|s| s.0 != of) {
@@ -99,7 +102,7 @@
 #[test]
 fn a_kind_that_slows_gets_fewer_slots() {
     // i7496cc: overfilled servers looked as if they had more cores, and stayed overfilled.
-    let big = |id| Backend { rating: 12.0, ..server(id) };
+    let big = |id| Endpoint { weight: 12.0, ..server(id) };
     let mut hand = Hand::new(settings(1), vec![big(1), big(2)]);
     hand.train(0, 120, |_| 40.0);
     hand.pass(200.0);
@@ -114,7 +117,7 @@
 #[test]
 fn a_few_slow_servers_take_no_slots_from_the_healthy_ones_of_their_kind() {
     // ib2a989: three of fourteen servers eight times slower, and the slots of all others shrank.
-    let told = Settings { may_tell: true, ..settings(1) };
+    let told = Settings { gossip_enabled: true, ..settings(1) };
     let mut hand = Hand::new(told, (1..=10).map(server).collect());
     hand.train(0, 300, |_| 40.0);
     let (sent, _) = hand.drive(20_000, 2, |to, _| if to <= 7 { 600.0 } else { 40.0 });
@@ -126,10 +129,10 @@
 #[test]
 fn waits_at_one_core_do_not_shrink_the_slots_of_others() {
     // i30d937: one-core servers that held two requests looked slow, and so others seemed to have few cores.
-    let told = Settings { may_tell: true, ..settings(2) };
-    let big = |id| Backend { kind: Some(KindId(1)), rating: 8.0, ..server(id) };
-    let list: Vec<Backend> =
-        (1..=8).map(|id| Backend { rating: 1.6, ..server(id) }).chain((11..=14).map(big)).collect();
+    let told = Settings { gossip_enabled: true, ..settings(2) };
+    let big = |id| Endpoint { machine_class: Some(MachineClassId(1)), weight: 8.0, ..server(id) };
+    let list: Vec<Endpoint> =
+        (1..=8).map(|id| Endpoint { weight: 1.6, ..server(id) }).chain((11..=14).map(big)).collect();
     let mut hand = Hand::new(told, list);
     // A second request at a single core waits for the first.
     let (_, out) =
@@ -141,8 +144,8 @@
 #[test]
 fn an_unmeasured_kind_gets_half_its_slots() {
     // La59078: a fleet jammed from the first second took the jam for calm and stayed in it.
-    let told = Settings { may_tell: true, ..settings(1) };
-    let list = vec![Backend { rating: 8.0, ..server(1) }];
+    let told = Settings { gossip_enabled: true, ..settings(1) };
+    let list = vec![Endpoint { weight: 8.0, ..server(1) }];
     let first = burst(&mut Hand::new(told.clone(), list.clone()), 1000, 20).len();
     assert!((4..=6).contains(&first), "half of 8.8 slots at first: {first}");
     let mut hand = Hand::new(told, list);
@@ -156,11 +159,11 @@
 fn slots_of_all_proxies_do_not_overlap() {
     // Herding: many proxies saw the same open servers. Each slot is owned by one proxy.
     let n = 12;
-    let list: Vec<Backend> = (0..20).map(server).collect();
+    let list: Vec<Endpoint> = (0..20).map(server).collect();
     let mut at = vec![0u32; 20];
-    for me in 0..n {
+    for proxy_index in 0..n {
         let base = settings(n);
-        let mut hand = Hand::new(Settings { me, may_tell: true, ..base }, list.clone());
+        let mut hand = Hand::new(Settings { proxy_index, gossip_enabled: true, ..base }, list.clone());
         for (_, to) in burst(&mut hand, 0, 40) {
             at[to as usize] += 1;
         }
@@ -174,11 +177,11 @@
 #[test]
 fn a_proxy_among_many_has_servers_of_its_own() {
     // bern: with 250 proxies on 60 small servers most proxies had no server at all and refused everything.
-    let small = |id| Backend { rating: 1.0, ..server(id) };
+    let small = |id| Endpoint { weight: 1.0, ..server(id) };
     let mut without = 0;
-    for me in 0..50 {
+    for proxy_index in 0..50 {
         let base = settings(250);
-        let mut hand = Hand::new(Settings { me, ..base }, (0..60).map(small).collect());
+        let mut hand = Hand::new(Settings { proxy_index, ..base }, (0..60).map(small).collect());
         hand.pass(1500.0);
         let sent = burst(&mut hand, 0, 30);
         assert!(sent.len() <= 20, "a small part of the fleet only: {}", sent.len());
@@ -191,15 +194,15 @@
 fn deaf_proxies_hold_few_requests_out() {
     // i1ce7d3: one slot at each server for each of 38 proxies tipped servers into lasting slowness.
     let base = settings(38);
-    let mut hand = Hand::new(Settings { warm_keys: true, ..base }, (0..40).map(server).collect());
+    let mut hand = Hand::new(Settings { key_affinity: true, ..base }, (0..40).map(server).collect());
     hand.pass(500.0);
     let ask = |id| Event::Request {
         id: RequestId(id),
         class: ClassId(1),
         tenant: None,
-        key: Some(Key(id + 1)),
-        budget: 3000.0,
-        hint: None,
+        key: Some(AffinityKey(id + 1)),
+        timeout: 3000.0,
+        expected_cost: None,
     };
     let sent: usize = (0..200).map(|id| sends(&hand.give(ask(id))).len()).sum();
     // Its fair part of some 104 slots is under three.
@@ -208,16 +211,17 @@
 
 #[test]
 fn every_proxy_gives_a_key_the_same_home() {
-    let home = |me: u32| {
+    let home = |proxy_index: u32| {
         let base = settings(5);
-        let mut hand = Hand::new(Settings { me, warm_keys: true, ..base }, (0..12).map(server).collect());
+        let mut hand =
+            Hand::new(Settings { proxy_index, key_affinity: true, ..base }, (0..12).map(server).collect());
         let ask = |id, key| Event::Request {
             id: RequestId(id),
             class: ClassId(0),
             tenant: None,
-            key: Some(Key(key)),
-            budget: 2000.0,
-            hint: None,
+            key: Some(AffinityKey(key)),
+            timeout: 2000.0,
+            expected_cost: None,
         };
         let mut homes = vec![];
         for key in 1..9 {
@@ -233,9 +237,9 @@
 #[test]
 fn a_restart_told_twice_in_one_list_is_still_a_cold_start() {
     // Found by the property test: the second line of the same server took its fresh start back.
-    let fresh = Backend { since: Some(1000.0), ..server(1) };
+    let fresh = Endpoint { started_at: Some(1000.0), ..server(1) };
     let mut hand = Hand::new(settings(8), vec![server(1)]);
-    hand.give(Event::List { scope: Scope::Delta, entries: vec![fresh.clone(), fresh] });
+    hand.give(Event::List { scope: ListScope::Delta, entries: vec![fresh.clone(), fresh] });
     let sent = burst(&mut hand, 0, 20);
     assert!(sent.is_empty(), "a cold server of one in eight proxies: {sent:?}");
 }
@@ -244,8 +248,8 @@
 fn a_drained_server_gets_nothing_and_its_requests_are_answered() {
     let mut hand = Hand::new(settings(1), vec![server(1)]);
     hand.give(Event::List {
-        scope: Scope::Delta,
-        entries: vec![Backend { state: State::Draining, ..server(1) }],
+        scope: ListScope::Delta,
+        entries: vec![Endpoint { state: EndpointState::Draining, ..server(1) }],
     });
     let mut out = hand.give(request(1, 1, 3000.0));
     out.extend(hand.pass(3000.0));
@@ -265,7 +269,7 @@
         again.len()
     };
     for id in 1..=20 {
-        assert_eq!(again(&mut hand, id, Outcome::Moot), 1, "request {id}");
+        assert_eq!(again(&mut hand, id, Outcome::Withdrawn), 1, "request {id}");
     }
     // Others' attempts still come out of it: it holds 20 at most, and each arrival adds little.
     let repeats: usize = (100..140).map(|id| again(&mut hand, id, Outcome::ConnectFailed)).sum();
@@ -283,9 +287,9 @@
 
 #[test]
 fn odd_lists_do_no_harm() {
-    let odd = |rating| Backend { rating, ..server(3) };
-    for rating in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
-        let mut hand = Hand::new(settings(3), vec![odd(rating), server(4)]);
+    let odd = |weight| Endpoint { weight, ..server(3) };
+    for weight in [0.0, -1.0, f64::NAN, f64::INFINITY, 1e300] {
+        let mut hand = Hand::new(settings(3), vec![odd(weight), server(4)]);
         burst(&mut hand, 0, 9);
         let out = hand.pass(4000.0);
         assert!(refusals(&out) <= 9);
@@ -342,10 +346,10 @@
 #[test]
 fn deaf_proxies_with_many_servers_each_share_no_slot() {
     // At full size random subsets of 20 servers for each of 36 proxies overlapped twice and servers choked.
-    let small = |id| Backend { rating: 1.0, ..server(id) };
+    let small = |id| Endpoint { weight: 1.0, ..server(id) };
     let mut holders = std::collections::HashMap::<u64, usize>::new();
-    for me in 0..8 {
-        let mut hand = Hand::new(Settings { me, ..settings(8) }, (0..160).map(small).collect());
+    for proxy_index in 0..8 {
+        let mut hand = Hand::new(Settings { proxy_index, ..settings(8) }, (0..160).map(small).collect());
         hand.pass(1500.0);
         let sent = burst(&mut hand, 0, 60);
         assert!((8..=40).contains(&sent.len()), "{} of 20 slots in the mean", sent.len());
@@ -360,7 +364,7 @@
 fn deaf_proxies_with_few_servers_each_pool_them() {
     // 20 proxies with 29 one-core servers: one server of one's own leaves long waits and idles for a round trip
     // between answers.
-    let small = |id| Backend { rating: 1.0, ..server(id) };
+    let small = |id| Endpoint { weight: 1.0, ..server(id) };
     let mut hand = Hand::new(settings(20), (0..29).map(small).collect());
     hand.pass(500.0);
     let mut reached = std::collections::HashSet::new();
@@ -377,7 +381,7 @@
 #[test]
 fn late_answers_narrow_the_window_of_pooled_servers() {
     let out_at_once = |latency: Millis| {
-        let small = |id| Backend { rating: 1.0, ..server(id) };
+        let small = |id| Endpoint { weight: 1.0, ..server(id) };
         let mut hand = Hand::new(settings(20), (0..40).map(small).collect());
         let (_, still) = hand.drive(6000, 12, |_, _| latency);
         still.len()
@@ -390,19 +394,20 @@
 #[test]
 fn servers_that_come_and_go_leave_nothing_behind() {
     // Long days: each replaced server kept its record, and all of them were looked over ten times a second.
-    for warm_keys in [false, true] {
-        let mut hand = Hand::new(Settings { warm_keys, may_tell: true, ..settings(2) }, vec![server(0)]);
+    for key_affinity in [false, true] {
+        let mut hand =
+            Hand::new(Settings { key_affinity, gossip_enabled: true, ..settings(2) }, vec![server(0)]);
         hand.give(request(1, 2, 1e9)); // keyed: where it went first must be known until it ends
-        let told = |id: u64, state| Backend { state, ..server(id) };
+        let told = |id: u64, state| Endpoint { state, ..server(id) };
         for id in 1..3000 {
-            let entries = vec![told(id, State::Up), told(id - 1, State::Gone)];
-            let mut actions = hand.give(Event::List { scope: Scope::Delta, entries });
+            let entries = vec![told(id, EndpointState::Up), told(id - 1, EndpointState::Removed)];
+            let mut actions = hand.give(Event::List { scope: ListScope::Delta, entries });
             actions.extend(hand.pass(120.0));
             actions.extend(hand.give(request(10 * id, 0, 3000.0)));
             let mut out = sends(&actions);
             // The servers that a whole list lacks have left too.
             if id % 100 == 0 {
-                out.extend(sends(&hand.give(full(vec![told(id, State::Up)]))));
+                out.extend(sends(&hand.give(full(vec![told(id, EndpointState::Up)]))));
             }
             while let Some((sent, _)) = out.pop() {
                 if sent > 1 {
@@ -418,14 +423,14 @@
 fn beyond_what_may_be_held_the_least_valuable_are_given_up_at_once() {
     // Four times the load: requests with no hope kept all connections, and what came then was not taken at all.
     let mut settings = settings(1);
-    settings.limits.most_held = 20;
-    settings.classes[0].worth = 0.1;
+    settings.limits.max_open_requests = 20;
+    settings.classes[0].priority_weight = 0.1;
     let mut hand = Hand::new(settings, vec![server(1)]);
     let mut given_up = vec![];
     for id in 0..60 {
         for action in hand.give(request(id, (id % 2) as usize, 5000.0)) {
             match action {
-                Action::Refuse { request, retry_after, .. } => {
+                Action::Reject { request, retry_after, .. } => {
                     assert!(retry_after.is_some_and(|after| after > 0.0));
                     given_up.push(request.0);
                 }
@@ -442,8 +447,8 @@
 #[test]
 fn a_calm_level_that_was_taken_for_too_low_costs_slots_only_for_a_while() {
     // A reload day: a lucky start passed for calm, and ten seconds long a third of the slots had to do.
-    let told = Settings { may_tell: true, ..settings(1) };
-    let mut hand = Hand::new(told, vec![Backend { rating: 8.0, ..server(1) }]);
+    let told = Settings { gossip_enabled: true, ..settings(1) };
+    let mut hand = Hand::new(told, vec![Endpoint { weight: 8.0, ..server(1) }]);
     hand.train(0, 120, |_| 20.0);
     hand.train(1000, 400, |_| 50.0);
     let slots = burst(&mut hand, 5000, 20).len();
@@ -476,13 +481,13 @@
 fn expected_latencies_follow_the_answers_not_the_first_guess() {
     // r7333: answers took 3 ms, yet a class was expected to take its first guess, a quarter of its aim, since
     // the servers' relative latencies had taken up the rest.
-    let mut hand = Hand::new(settings(1), vec![Backend { rating: 1.0, ..server(1) }]);
+    let mut hand = Hand::new(settings(1), vec![Endpoint { weight: 1.0, ..server(1) }]);
     hand.train(0, 60, |_| 20.0);
     hand.pass(200.0);
     assert_eq!(sends(&hand.give(request(1000, 0, 2000.0))).len(), 1, "the one slot");
     assert!(sends(&hand.give(request(1001, 0, 2000.0))).is_empty());
     let refused = |actions: &[Action]| {
-        actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == RequestId(1001)))
+        actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == RequestId(1001)))
     };
     assert!(!refused(&hand.pass(730.0)), "20 ms of work still fit into the 70 ms up to its aim");
     assert!(refused(&hand.pass(70.0)), "at its aim it is of no more use");
@@ -492,7 +497,7 @@
 fn one_lost_answer_does_not_close_a_server_with_one_slot() {
     // r7333: one answer in fifty never came, and each closed its server as hung, since nothing else can move
     // where there is one slot. Its reset, heard of later, counted against the server once more.
-    let mut hand = Hand::new(settings(1), (1..5).map(|id| Backend { rating: 1.0, ..server(id) }).collect());
+    let mut hand = Hand::new(settings(1), (1..5).map(|id| Endpoint { weight: 1.0, ..server(id) }).collect());
     hand.train(0, 100, |_| 20.0);
     hand.pass(200.0);
     let all_but_one = |hand: &mut Hand, first: u64| {
@@ -518,7 +523,7 @@
 #[test]
 fn nothing_waits_for_a_faster_server_where_it_has_already_been() {
     // A request that could not connect at the faster server was held for that one until shortly before its aim.
-    let list = vec![server(1), Backend { kind: Some(KindId(1)), ..server(2) }];
+    let list = vec![server(1), Endpoint { machine_class: Some(MachineClassId(1)), ..server(2) }];
     let mut hand = Hand::new(settings(1), list);
     hand.train(0, 120, |to| if to == 1 { 20.0 } else { 100.0 });
     hand.pass(300.0);
@@ -531,22 +536,22 @@
 fn an_attempt_on_its_way_across_zones_takes_no_slot_from_the_zone_s_own_proxy() {
     // r7333: where the way to another zone takes four times as long as the work, the attempts of another zone's
     // proxy kept a server of one slot from its own proxy for the whole of that way.
-    let here = |id| Backend { rating: 1.0, ..server(id) };
-    let there = Backend { zone: Some(ZoneId(1)), ..here(9) };
-    let talks = Settings { may_tell: true, ..settings(2) };
+    let here = |id| Endpoint { weight: 1.0, ..server(id) };
+    let there = Endpoint { zone: Some(ZoneId(1)), ..here(9) };
+    let talks = Settings { gossip_enabled: true, ..settings(2) };
     let mut hand = Hand::new(talks.clone(), vec![there.clone()]);
     hand.train(0, 40, |_| 20.0);
     hand.give(full(vec![here(1), there]));
     hand.train(100, 120, |to| if to == 1 { 4.0 } else { 20.0 });
     // A proxy of the other zone tells that it has two attempts out at server 1.
-    let large = Backend { rating: 16.0, ..here(1) };
-    let mut other = Hand::new(Settings { me: 1, zone: Some(ZoneId(1)), ..talks }, vec![large]);
+    let large = Endpoint { weight: 16.0, ..here(1) };
+    let mut other = Hand::new(Settings { proxy_index: 1, zone: Some(ZoneId(1)), ..talks }, vec![large]);
     assert_eq!(burst(&mut other, 0, 2).len(), 2);
     let told = other.pass(300.0).into_iter().rev().find_map(|a| match a {
         Action::Broadcast(bytes) => Some(bytes),
         _ => None,
     });
-    let told = Event::Message { from: 1, bytes: told.expect("it tells what it holds") };
+    let told = Event::Gossip { from: 1, bytes: told.expect("it tells what it holds") };
     hand.give(told.clone());
     hand.pass(2000.0); // slots are shared out anew between the proxies of each zone
     hand.give(told);
@@ -557,7 +562,7 @@
 #[test]
 fn where_some_fail_everywhere_two_in_a_row_close_no_server() {
     // r6407: servers broke one connection in twenty, at random, and two in a row closed one for 250 ms and more.
-    let list = || (1..5).map(|id| Backend { rating: 1.0, ..server(id) }).collect();
+    let list = || (1..5).map(|id| Endpoint { weight: 1.0, ..server(id) }).collect();
     let still_open = |fail_every: u64| {
         let mut hand = Hand::new(settings(1), list());
         hand.train(0, 100, |_| 20.0);
@@ -584,17 +589,23 @@
 /// Proxies of a large fleet that know how fast their one server is, and what one of them tells while it holds
 /// `n` requests there.
 fn fleet_with_one_server(proxies: u32) -> (Vec<Hand>, impl Fn(u64) -> Vec<u8>) {
-    let cfg = |me, proxies| Settings { me, proxies, warm_keys: true, may_tell: true, ..settings(1) };
+    let cfg = |proxy_index, proxies| Settings {
+        proxy_index,
+        proxies,
+        key_affinity: true,
+        gossip_enabled: true,
+        ..settings(1)
+    };
     let keyed = |id| Event::Request {
         id: RequestId(id),
         class: ClassId(0),
         tenant: None,
-        key: Some(Key(id)),
-        budget: 2000.0,
-        hint: None,
+        key: Some(AffinityKey(id)),
+        timeout: 2000.0,
+        expected_cost: None,
     };
-    let hands = (0..proxies).map(|me| {
-        let mut hand = Hand::new(cfg(me, proxies), vec![server(1)]);
+    let hands = (0..proxies).map(|proxy_index| {
+        let mut hand = Hand::new(cfg(proxy_index, proxies), vec![server(1)]);
         for id in 0..12 {
             let sent = sends(&hand.give(keyed(id)));
             assert_eq!(sent, [(id, 1)], "an idle server is used");
@@ -622,14 +633,14 @@
     let mut sent = 0;
     for hand in &mut hands {
         for round in 0..5 {
-            (1..5).for_each(|from| drop(hand.give(Event::Message { from, bytes: full.clone() })));
-            let (id, key) = (RequestId(100 + round), Some(Key(round)));
-            let (class, tenant, hint) = (ClassId(0), None, None);
-            hand.give(Event::Request { id, class, tenant, key, budget: 2000.0, hint });
+            (1..5).for_each(|from| drop(hand.give(Event::Gossip { from, bytes: full.clone() })));
+            let (id, key) = (RequestId(100 + round), Some(AffinityKey(round)));
+            let (class, tenant, expected_cost) = (ClassId(0), None, None);
+            hand.give(Event::Request { id, class, tenant, key, timeout: 2000.0, expected_cost });
             hand.pass(100.0);
         }
         (1..5).for_each(|from| {
-            sent += sends(&hand.give(Event::Message { from, bytes: idle.clone() })).len();
+            sent += sends(&hand.give(Event::Gossip { from, bytes: idle.clone() })).len();
         });
         sent += sends(&hand.pass(40.0)).len(); // within one epoch, or little more
     }
@@ -645,34 +656,36 @@
         id: RequestId(100),
         class: ClassId(0),
         tenant: None,
-        key: Some(Key(100)),
-        budget: 2000.0,
-        hint: None,
+        key: Some(AffinityKey(100)),
+        timeout: 2000.0,
+        expected_cost: None,
     };
     let hand = &mut hands[7];
-    hand.give(Event::Message { from: 1, bytes: one });
+    hand.give(Event::Gossip { from: 1, bytes: one });
     assert_eq!(sends(&hand.give(request)), [(100, 1)]);
 }
 
 #[test]
 fn of_those_that_wait_for_a_home_the_most_valuable_are_admitted() {
     // zone+vast: with half the servers gone each class was served alike, 34% of the worth for 33% of the requests.
-    let low = class(Effect::Safe, 800.0);
-    let classes = vec![low.clone(), Class { worth: 10.0, ..low }];
-    let base = Settings { classes, warm_keys: true, may_tell: true, ..settings(40) };
+    let low = class(Idempotency::Always, 800.0);
+    let classes = vec![low.clone(), RequestClass { priority_weight: 10.0, ..low }];
+    let base = Settings { classes, key_affinity: true, gossip_enabled: true, ..settings(40) };
     let (mut of_low, mut of_high) = (0, 0);
     let busy = fleet_with_one_server(2).1(1);
-    for me in 0..40 {
-        let mut hand = Hand::new(Settings { me, ..base.clone() }, vec![server(1)]);
+    for proxy_index in 0..40 {
+        let mut hand = Hand::new(Settings { proxy_index, ..base.clone() }, vec![server(1)]);
         hand.train(0, 30, |_| 50.0);
         hand.pass(4000.0);
         // Ten of each class a second, alike at all proxies: far more than one server can do for 40 proxies.
         for step in 0..20 {
-            (39..41)
-                .for_each(|i| drop(hand.give(Event::Message { from: (me + i) % 40, bytes: busy.clone() })));
-            let (key, class, id) = (Some(Key(1)), ClassId(step as usize % 2), RequestId(100 + step));
-            let (tenant, hint) = (None, None);
-            let mut done = hand.give(Event::Request { id, class, tenant, key, budget: 2000.0, hint });
+            (39..41).for_each(|i| {
+                drop(hand.give(Event::Gossip { from: (proxy_index + i) % 40, bytes: busy.clone() }))
+            });
+            let (key, class, id) = (Some(AffinityKey(1)), ClassId(step as usize % 2), RequestId(100 + step));
+            let (tenant, expected_cost) = (None, None);
+            let mut done =
+                hand.give(Event::Request { id, class, tenant, key, timeout: 2000.0, expected_cost });
             done.extend(hand.pass(50.0));
             for (id, _) in sends(&done) {
                 if id % 2 == 0 {
@@ -691,9 +704,9 @@
 fn a_proxy_keeps_its_own_slots_however_old_others_word_is() {
     // The quiet day of three proxies fell from 0.81 to 0.76: slots were taken from owners whom all know by a hash.
     let mut at = [0u32; 30];
-    for me in 0..3 {
-        let list = (0..30).map(|id| Backend { rating: 1.0, ..server(id) }).collect();
-        let mut hand = Hand::new(Settings { me, may_tell: true, ..settings(3) }, list);
+    for proxy_index in 0..3 {
+        let list = (0..30).map(|id| Endpoint { weight: 1.0, ..server(id) }).collect();
+        let mut hand = Hand::new(Settings { proxy_index, gossip_enabled: true, ..settings(3) }, list);
         hand.train(0, 60, |_| 5.0);
         hand.pass(1000.0); // nothing is heard of the others
         for (_, to) in burst(&mut hand, 1000, 7) {
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -18,52 +18,57 @@
 }
 
 fn start(proxies: u32) -> Start {
-    let mut settings = Settings { may_tell: true, ..settings(proxies) };
-    settings.limits =
-        Limits { start_capacity: 0.31, cold: 9000.0, fall_multiple: 3.0, fall: 3000.0, ..settings.limits };
+    let mut settings = Settings { gossip_enabled: true, ..settings(proxies) };
+    settings.limits = Limits {
+        initial_capacity: 0.31,
+        slow_start_window: 9000.0,
+        overload_multiple: 3.0,
+        overload_window: 3000.0,
+        ..settings.limits
+    };
     Start { settings, proxies, quiet: 0.0, restarted: 0, twins: false, span: 9000.0 }
 }
 
-fn one_core(id: u64) -> Backend {
-    Backend { rating: 1.0, ..server(id) }
+fn one_core(id: u64) -> Endpoint {
+    Endpoint { weight: 1.0, ..server(id) }
 }
 
 /// The worst window: requests to the cold server over N + 2√N + 2, and when.
 fn worst(of: &Start, seed: u64) -> (f64, Millis) {
-    let warm: Vec<Backend> = (0..4).map(one_core).collect();
+    let warm: Vec<Endpoint> = (0..4).map(one_core).collect();
     let mut hands: Vec<Hand> = vec![];
     let mut next = 1;
-    let hand = |me: u32, turn: u64| {
-        let cfg = Settings { me, ..of.settings.clone() };
-        Hand::seeded(cfg, warm.clone(), seed ^ (turn << 32) ^ (u64::from(me) * 7919 + 1))
+    let hand = |proxy_index: u32, turn: u64| {
+        let cfg = Settings { proxy_index, ..of.settings.clone() };
+        Hand::seeded(cfg, warm.clone(), seed ^ (turn << 32) ^ (u64::from(proxy_index) * 7919 + 1))
     };
-    for me in 0..of.proxies {
-        let mut h = hand(me, 0);
+    for proxy_index in 0..of.proxies {
+        let mut h = hand(proxy_index, 0);
         h.train(next, 40, |_| WORK);
         next += 40;
         hands.push(h);
     }
     let began = hands.iter().map(|h| h.now).fold(0.0, f64::max);
-    for (me, h) in hands.iter_mut().enumerate() {
+    for (proxy_index, h) in hands.iter_mut().enumerate() {
         h.pass(began - h.now);
-        if (me as u32) < of.restarted {
-            *h = hand(me as u32, 1);
+        if (proxy_index as u32) < of.restarted {
+            *h = hand(proxy_index as u32, 1);
             h.pass(began - h.now);
         }
     }
     if of.twins {
-        for me in 0..of.proxies {
-            let mut twin = hand(me, 2);
+        for proxy_index in 0..of.proxies {
+            let mut twin = hand(proxy_index, 2);
             twin.pass(began - twin.now);
-            twin.balancer.resume(hands[me as usize].balancer.learnt());
-            twin.give(Event::Twin(true));
-            hands[me as usize].give(Event::Twin(true));
+            twin.balancer.resume(hands[proxy_index as usize].balancer.learnt());
+            twin.give(Event::OverlappingProcess(true));
+            hands[proxy_index as usize].give(Event::OverlappingProcess(true));
             hands.push(twin);
         }
     }
-    let cold = Backend { since: Some(began), ..one_core(COLD) };
+    let cold = Endpoint { started_at: Some(began), ..one_core(COLD) };
     for h in &mut hands {
-        h.give(Event::List { scope: Scope::Delta, entries: vec![cold.clone()] });
+        h.give(Event::List { scope: ListScope::Delta, entries: vec![cold.clone()] });
     }
     let mut out: Vec<Vec<(u64, Millis)>> = vec![vec![]; hands.len()];
     let mut sent: Vec<Millis> = vec![];
@@ -78,7 +83,8 @@
                 next += 1;
                 let mut event = request(next, 0, 2000.0);
                 if let Event::Request { key, .. } = &mut event {
-                    *key = of.settings.warm_keys.then_some(Key(next.wrapping_mul(0x9e37_79b9) % 499));
+                    *key =
+                        of.settings.key_affinity.then_some(AffinityKey(next.wrapping_mul(0x9e37_79b9) % 499));
                 }
                 actions.extend(h.give(event));
             }
@@ -98,9 +104,10 @@
     }
     let l = of.settings.limits;
     let ratio = |&at: &Millis| {
-        let count = sent.iter().filter(|s| **s > at - l.fall && **s <= at).count() as f64;
-        let sure = l.start_capacity + (1.0 - l.start_capacity) * ((at - began) / l.cold).min(1.0);
-        let n = l.fall_multiple * sure * l.fall / WORK;
+        let count = sent.iter().filter(|s| **s > at - l.overload_window && **s <= at).count() as f64;
+        let sure =
+            l.initial_capacity + (1.0 - l.initial_capacity) * ((at - began) / l.slow_start_window).min(1.0);
+        let n = l.overload_multiple * sure * l.overload_window / WORK;
         (count / (n + 2.0 * n.sqrt() + 2.0), at - began)
     };
     sent.iter().map(ratio).max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, 0.0))
@@ -115,13 +122,13 @@
 fn what_many_proxies_have_saved_up_does_not_push_a_cold_server_over_in_a_burst() {
     // Cold for long beside the span of a fall, and nothing to do until it is almost warm.
     for proxies in [3, 30, 100] {
-        for may_tell in [true, false] {
+        for gossip_enabled in [true, false] {
             let mut of = start(proxies);
-            (of.settings.warm_keys, of.settings.may_tell) = (true, may_tell);
-            (of.settings.limits.cold, of.settings.limits.fall) = (20_000.0, 1500.0);
+            (of.settings.key_affinity, of.settings.gossip_enabled) = (true, gossip_enabled);
+            (of.settings.limits.slow_start_window, of.settings.limits.overload_window) = (20_000.0, 1500.0);
             (of.quiet, of.span) = (14_000.0, 17_000.0);
             let ratio = worst_of(&of);
-            assert!(ratio > 0.1 && ratio < 1.0, "{proxies} proxies, word {may_tell}: {ratio:.2}");
+            assert!(ratio > 0.1 && ratio < 1.0, "{proxies} proxies, word {gossip_enabled}: {ratio:.2}");
         }
     }
 }
@@ -129,7 +136,7 @@
 #[test]
 fn just_restarted_proxies_and_two_processes_keep_the_budget_too() {
     let mut base = start(30);
-    base.settings.warm_keys = true;
+    base.settings.key_affinity = true;
     for of in [
         Start { restarted: 30, ..base.clone() },
         Start { restarted: 10, quiet: 4000.0, ..base.clone() },
@@ -144,10 +151,10 @@
 #[test]
 fn a_few_proxies_are_not_kept_from_a_cold_server() {
     // Beyond its slots nothing holds them back: what the server gets under load is a third of its budget at least.
-    for may_tell in [true, false] {
+    for gossip_enabled in [true, false] {
         let mut of = start(3);
-        of.settings.may_tell = may_tell;
+        of.settings.gossip_enabled = gossip_enabled;
         let ratio = worst_of(&of);
-        assert!(ratio > 0.25, "word {may_tell}: {ratio:.2}");
+        assert!(ratio > 0.25, "word {gossip_enabled}: {ratio:.2}");
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -3,64 +3,82 @@
 use leadrelay_core::*;
 use std::collections::{BTreeMap, HashMap};
 
-pub fn class(effect: Effect, aim: Millis) -> Class {
-    Class { aim, deadline: 2.5 * aim, aim_stretch: 0.0, worth: 1.0, late_worth: 0.0, effect }
+pub fn class(idempotency: Idempotency, latency_objective: Millis) -> RequestClass {
+    RequestClass {
+        latency_objective,
+        deadline: 2.5 * latency_objective,
+        objective_stretch: 0.0,
+        priority_weight: 1.0,
+        late_fraction: 0.0,
+        idempotency,
+    }
 }
 
-pub const KEYED: Effect = Effect::Keyed { group: Group::Cell, window: 2000.0 };
+pub const KEYED: Idempotency = Idempotency::WithKey { scope: DeduplicationScope::Cell, window: 2000.0 };
 
 /// Three classes (safe, unsafe, keyed by cell), pushed lists, ratings that tell the size.
 pub fn settings(proxies: u32) -> Settings {
     Settings {
-        me: 0,
+        proxy_index: 0,
         proxies,
         zone: Some(ZoneId(0)),
-        classes: vec![class(Effect::Safe, 800.0), class(Effect::Unsafe, 1200.0), class(KEYED, 800.0)],
+        classes: vec![
+            class(Idempotency::Always, 800.0),
+            class(Idempotency::Never, 1200.0),
+            class(KEYED, 800.0),
+        ],
         tenants: vec![],
-        over_share_worth: 0.1,
-        worth_by_work: false,
-        discovery: Discovery::Pushed,
-        staleness: None,
-        rating: Rating::Size,
-        warm_keys: false,
-        may_tell: false,
+        over_quota_fraction: 0.1,
+        weight_per_work: false,
+        discovery: DiscoveryMode::Pushed,
+        notification_bounds: None,
+        weight_meaning: WeightMeaning::Capacity,
+        key_affinity: false,
+        gossip_enabled: false,
         prices: Prices::default(),
         limits: Limits {
             drain_grace: 2000.0,
-            ask_within: 10_000.0,
-            start_capacity: 0.2,
-            cold: 10_000.0,
-            fall_multiple: 3.0,
-            fall: 2000.0,
+            notified_without_watch: 10_000.0,
+            initial_capacity: 0.2,
+            slow_start_window: 10_000.0,
+            overload_multiple: 3.0,
+            overload_window: 2000.0,
             max_attempts: 4,
-            most_held: usize::MAX,
+            max_open_requests: usize::MAX,
         },
     }
 }
 
-pub fn server(id: u64) -> Backend {
-    Backend {
-        id: BackendId(id),
+pub fn server(id: u64) -> Endpoint {
+    Endpoint {
+        id: EndpointId(id),
         zone: Some(ZoneId(0)),
-        kind: Some(KindId(0)),
+        machine_class: Some(MachineClassId(0)),
         cell: Some(CellId(id / 3)),
-        state: State::Up,
-        rating: 2.0,
-        since: None,
+        state: EndpointState::Up,
+        weight: 2.0,
+        started_at: None,
     }
 }
 
-pub fn full(entries: Vec<Backend>) -> Event {
-    Event::List { scope: Scope::Full, entries }
+pub fn full(entries: Vec<Endpoint>) -> Event {
+    Event::List { scope: ListScope::Full, entries }
 }
 
-pub fn request(id: u64, class: usize, budget: Millis) -> Event {
-    Event::Request { id: RequestId(id), class: ClassId(class), tenant: None, key: None, budget, hint: None }
+pub fn request(id: u64, class: usize, timeout: Millis) -> Event {
+    Event::Request {
+        id: RequestId(id),
+        class: ClassId(class),
+        tenant: None,
+        key: None,
+        timeout,
+        expected_cost: None,
+    }
 }
 
 pub fn ended(id: u64, attempt: u32, latency: Millis, outcome: Outcome) -> Event {
-    let closed = outcome == Outcome::Served;
-    Event::Ended { request: RequestId(id), attempt, latency, outcome, closed }
+    let finished = outcome == Outcome::Served;
+    Event::Ended { request: RequestId(id), attempt, latency, outcome, finished }
 }
 
 /// A Balancer whose timers are kept and fired by hand.
@@ -71,11 +89,11 @@
 }
 
 impl Hand {
-    pub fn new(settings: Settings, servers: Vec<Backend>) -> Self {
+    pub fn new(settings: Settings, servers: Vec<Endpoint>) -> Self {
         Hand::seeded(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Backend>, seed: u64) -> Self {
+    pub fn seeded(settings: Settings, servers: Vec<Endpoint>, seed: u64) -> Self {
         let mut hand = Hand { balancer: Balancer::new(settings, seed), now: 1000.0, timers: vec![] };
         hand.give(full(servers));
         hand
@@ -156,7 +174,7 @@
 /// Request and server of each send.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     let pick = |a: &Action| match a {
-        Action::Send { request, backend, .. } => Some((request.0, backend.0)),
+        Action::Send { request, endpoint, .. } => Some((request.0, endpoint.0)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -179,7 +197,7 @@
 /// Watches every event and action of one proxy and notes each breach of the four rules.
 pub struct Checker {
     settings: Settings,
-    servers: HashMap<u64, (Backend, Option<Millis>)>,
+    servers: HashMap<u64, (Endpoint, Option<Millis>)>,
     owed: BTreeMap<u64, Owed>,
     cold: HashMap<u64, Vec<Millis>>,
     pub work: Millis,
@@ -204,17 +222,17 @@
 
     pub fn event(&mut self, now: Millis, event: &Event) {
         match event {
-            Event::List { scope: Scope::Failed, .. } => {}
+            Event::List { scope: ListScope::Failed, .. } => {}
             Event::List { scope, entries } => {
                 for e in entries {
                     let old = self.servers.get(&e.id.0).and_then(|s| s.1);
-                    let told = if e.state == State::Up { None } else { old.or(Some(now)) };
-                    if self.servers.get(&e.id.0).is_some_and(|s| s.0.since != e.since) {
+                    let told = if e.state == EndpointState::Up { None } else { old.or(Some(now)) };
+                    if self.servers.get(&e.id.0).is_some_and(|s| s.0.started_at != e.started_at) {
                         self.cold.remove(&e.id.0); // a new process has its own budget
                     }
                     self.servers.insert(e.id.0, (e.clone(), told));
                 }
-                if *scope == Scope::Full {
+                if *scope == ListScope::Full {
                     for (id, s) in &mut self.servers {
                         if !entries.iter().any(|e| e.id.0 == *id) {
                             s.1 = s.1.or(Some(now));
@@ -222,19 +240,19 @@
                     }
                 }
             }
-            Event::Request { id, class, budget, .. } => {
-                let owed = Owed { class: class.0, due: now + budget, sent: vec![], answered: false };
+            Event::Request { id, class, timeout, .. } => {
+                let owed = Owed { class: class.0, due: now + timeout, sent: vec![], answered: false };
                 self.owed.insert(id.0, owed);
             }
-            Event::Ended { request, attempt, outcome, closed, .. } => {
+            Event::Ended { request, attempt, outcome, finished, .. } => {
                 if let Some(o) = self.owed.get_mut(&request.0) {
-                    o.answered |= closed;
+                    o.answered |= finished;
                     if let Some(s) = o.sent.get_mut(*attempt as usize) {
                         (s.over, s.ran) = (true, outcome.may_have_run());
                     }
                 }
             }
-            Event::Abandoned(id) => {
+            Event::ClientClosed(id) => {
                 if let Some(o) = self.owed.get_mut(&id.0) {
                     o.answered = true;
                 }
@@ -245,14 +263,14 @@
 
     pub fn action(&mut self, now: Millis, action: &Action) {
         match action {
-            Action::Send { request, backend, .. } => self.sent(now, request.0, backend.0),
-            Action::Refuse { request, .. } => {
+            Action::Send { request, endpoint, .. } => self.sent(now, request.0, endpoint.0),
+            Action::Reject { request, .. } => {
                 let Some(o) = self.owed.get(&request.0) else {
                     return self.breach(now, format!("refused {request:?}, which is not held"));
                 };
                 let ran = o.sent.iter().any(|s| !s.over || s.ran);
-                let allowed = match self.settings.classes[o.class].effect {
-                    Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+                let allowed = match self.settings.classes[o.class].idempotency {
+                    Idempotency::Always | Idempotency::WithKey { scope: DeduplicationScope::All, .. } => true,
                     _ => !ran,
                 };
                 if !allowed {
@@ -283,7 +301,7 @@
         let Some(o) = self.owed.get(&id) else {
             return self.breach(now, format!("sent {id}, which is not held"));
         };
-        let effect = self.settings.classes[o.class].effect;
+        let idempotency = self.settings.classes[o.class].idempotency;
         let out = o.sent.iter().any(|s| !s.over);
         let ran = o.sent.iter().find(|s| !s.over || s.ran);
         let mut wrong = vec![];
@@ -296,14 +314,14 @@
         if o.sent.len() as u32 >= limits.max_attempts {
             wrong.push("too often");
         }
-        match (effect, ran) {
-            (Effect::Unsafe, Some(_)) => wrong.push("again though it must never run twice"),
-            (Effect::Keyed { group, window }, Some(first)) => {
+        match (idempotency, ran) {
+            (Idempotency::Never, Some(_)) => wrong.push("again though it must never run twice"),
+            (Idempotency::WithKey { scope, window }, Some(first)) => {
                 let other = &self.servers[&first.server].0;
-                let same = match group {
-                    Group::All => true,
-                    Group::Zone => other.zone == server.zone,
-                    Group::Cell => other.cell == server.cell,
+                let same = match scope {
+                    DeduplicationScope::All => true,
+                    DeduplicationScope::Zone => other.zone == server.zone,
+                    DeduplicationScope::Cell => other.cell == server.cell,
                 };
                 if !same {
                     wrong.push("outside the group that drops its repeat");
@@ -317,14 +335,14 @@
         let texts: Vec<String> = wrong.iter().map(|w| format!("sent {id} {w}")).collect();
         texts.into_iter().for_each(|t| self.breach(now, t));
         self.owed.get_mut(&id).unwrap().sent.push(Sent { server: to, at: now, over: false, ran: true });
-        if let Some(since) = server.since.filter(|s| now - s < limits.cold) {
+        if let Some(started_at) = server.started_at.filter(|s| now - s < limits.slow_start_window) {
             let sent = self.cold.entry(to).or_default();
             sent.push(now);
-            sent.retain(|t| *t > now - limits.fall);
+            sent.retain(|t| *t > now - limits.overload_window);
             // If every proxy did the same: sure capacity over the window, plus one request each for chance.
-            let age = ((now - since) / limits.cold).clamp(0.0, 1.0);
-            let part = limits.start_capacity + (1.0 - limits.start_capacity) * age;
-            let budget = limits.fall_multiple * part * server.rating * limits.fall;
+            let age = ((now - started_at) / limits.slow_start_window).clamp(0.0, 1.0);
+            let part = limits.initial_capacity + (1.0 - limits.initial_capacity) * age;
+            let budget = limits.overload_multiple * part * server.weight * limits.overload_window;
             let alike = f64::from(self.settings.proxies);
             let push = (sent.len() as f64 - 1.0) * alike * self.work;
             if push > budget {
--- a/crates/core/tests/discovery.rs
+++ b/crates/core/tests/discovery.rs
@@ -1,5 +1,7 @@
 //! When discovery is called again after calls that failed.
-use leadrelay_core::{Action, Balancer, Discovery, Event, Limits, Prices, Rating, Scope, Settings};
+use leadrelay_core::{
+    Action, Balancer, DiscoveryMode, Event, Limits, ListScope, Prices, Settings, WeightMeaning,
+};
 
 /// A proxy that asks for its lists, and the clock of its ticks.
 struct Asking {
@@ -11,37 +13,37 @@
     fn new(seed: u64) -> Self {
         let limits = Limits {
             drain_grace: 2000.0,
-            ask_within: 10_000.0,
-            start_capacity: 1.0,
-            cold: 1.0,
-            fall_multiple: 1.0,
-            fall: 1000.0,
-            most_held: usize::MAX,
+            notified_without_watch: 10_000.0,
+            initial_capacity: 1.0,
+            slow_start_window: 1.0,
+            overload_multiple: 1.0,
+            overload_window: 1000.0,
+            max_open_requests: usize::MAX,
             max_attempts: 1,
         };
         let settings = Settings {
-            me: 0,
+            proxy_index: 0,
             proxies: 30,
             zone: None,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
-            discovery: Discovery::OnRequest,
-            staleness: None,
-            rating: Rating::Silent,
-            warm_keys: false,
-            may_tell: false,
+            over_quota_fraction: 1.0,
+            weight_per_work: false,
+            discovery: DiscoveryMode::OnRequest,
+            notification_bounds: None,
+            weight_meaning: WeightMeaning::Unknown,
+            key_affinity: false,
+            gossip_enabled: false,
             prices: Prices::default(),
             limits,
         };
         let mut asking = Asking { proxy: Balancer::new(settings, seed), next: 0.0 };
-        asking.list(Scope::Cached);
+        asking.list(ListScope::Cached);
         assert!(asking.called() < 20.0, "the first call is not put off");
         asking
     }
 
-    fn list(&mut self, scope: Scope) {
+    fn list(&mut self, scope: ListScope) {
         let mut actions = Vec::new();
         self.proxy.handle(self.next, Event::List { scope, entries: Vec::new() }, &mut actions);
         let timer =
@@ -68,7 +70,7 @@
     }
 
     fn again(&mut self) -> f64 {
-        self.list(Scope::Failed);
+        self.list(ListScope::Failed);
         self.called()
     }
 }
@@ -90,7 +92,7 @@
 
 #[test]
 fn a_list_makes_the_next_failure_the_first() {
-    for scope in [Scope::Full, Scope::Delta] {
+    for scope in [ListScope::Full, ListScope::Delta] {
         for seed in 0..50 {
             let mut asking = Asking::new(seed);
             for _ in 0..5 {
--- a/crates/core/tests/messages.rs
+++ b/crates/core/tests/messages.rs
@@ -11,24 +11,24 @@
     actions.iter().filter_map(bytes).collect()
 }
 
-fn in_zone(zone: u32, me: u32) -> Settings {
-    Settings { me, zone: Some(ZoneId(zone)), may_tell: true, ..settings(2) }
+fn in_zone(zone: u32, proxy_index: u32) -> Settings {
+    Settings { proxy_index, zone: Some(ZoneId(zone)), gossip_enabled: true, ..settings(2) }
 }
 
 /// Whether a proxy of one zone takes two attempts at a server there, of which a proxy of some zone tells, for ones that
 /// cross zones: they are at the server for a small part of their time only, and leave its slot free.
 fn crossing(zone: u32, from: u32) -> bool {
-    let here = |id| Backend { zone: Some(ZoneId(zone)), rating: 1.0, ..server(id) };
-    let there = Backend { zone: Some(ZoneId(zone + 1)), ..here(9) };
+    let here = |id| Endpoint { zone: Some(ZoneId(zone)), weight: 1.0, ..server(id) };
+    let there = Endpoint { zone: Some(ZoneId(zone + 1)), ..here(9) };
     let mut hand = Hand::new(in_zone(zone, 0), vec![there.clone()]);
     hand.train(0, 40, |_| 20.0);
     hand.give(full(vec![here(1), there]));
     hand.train(100, 120, |to| if to == 1 { 4.0 } else { 20.0 });
-    let mut teller = Hand::new(in_zone(from, 1), vec![Backend { rating: 16.0, ..here(1) }]);
+    let mut teller = Hand::new(in_zone(from, 1), vec![Endpoint { weight: 16.0, ..here(1) }]);
     (0..2).for_each(|id| assert_eq!(sends(&teller.give(request(id, 1, 3000.0))), [(id, 1)]));
     let word = told(&teller.pass(300.0)).pop().expect("it tells what it holds");
     assert!(word.len() <= 256, "{} bytes", word.len());
-    let word = Event::Message { from: 1, bytes: word };
+    let word = Event::Gossip { from: 1, bytes: word };
     hand.give(word.clone());
     hand.pass(2000.0); // slots are shared out anew between the proxies of each zone
     hand.give(word);
@@ -47,9 +47,10 @@
 
 #[test]
 fn with_one_request_out_at_each_of_1024_servers_each_is_told_in_its_turn() {
-    let cores = |id: u64| Backend { rating: 1.0, ..server(id) };
-    let patient = vec![class(Effect::Safe, 800.0), class(Effect::Unsafe, 600_000.0)];
-    let settings = Settings { zone: Some(ZoneId(1023)), classes: patient, may_tell: true, ..settings(2) };
+    let cores = |id: u64| Endpoint { weight: 1.0, ..server(id) };
+    let patient = vec![class(Idempotency::Always, 800.0), class(Idempotency::Never, 600_000.0)];
+    let settings =
+        Settings { zone: Some(ZoneId(1023)), classes: patient, gossip_enabled: true, ..settings(2) };
     let mut hand = Hand::new(settings, (1..=1024).map(cores).collect());
     let mut at = HashSet::new();
     for id in 0..1024 {
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -17,7 +17,7 @@
     settings: Settings,
     checker: Checker,
     due: Vec<(Millis, Due)>,
-    list: Vec<Backend>,
+    list: Vec<Endpoint>,
     ends: std::collections::HashMap<u64, (Millis, u32, bool)>,
     next: u64,
     /// Of invariants, by all processes so far.
@@ -57,7 +57,7 @@
                     self.due.push((at.max(self.now) + late, Due::Timer(token)));
                 }
                 Action::Send { request, .. } => self.attempt(request.0),
-                Action::Refuse { request, .. } | Action::Fail(request) => {
+                Action::Reject { request, .. } | Action::Fail(request) => {
                     if let Some(e) = self.ends.get_mut(&request.0) {
                         e.2 = true;
                     }
@@ -70,8 +70,8 @@
                 }
                 Action::Unsubscribe { .. } => {} // calls end by themselves here
                 Action::Subscribe { .. } => {
-                    let scope = if self.rng.bool() { Scope::Full } else { Scope::Failed };
-                    let entries = if scope == Scope::Full { self.list.clone() } else { vec![] };
+                    let scope = if self.rng.bool() { ListScope::Full } else { ListScope::Failed };
+                    let entries = if scope == ListScope::Full { self.list.clone() } else { vec![] };
                     self.give(Event::List { scope, entries });
                 }
             }
@@ -86,10 +86,10 @@
         let (latency, outcome) = match x {
             x if x < 0.70 => (10.0 + self.rng.f64() * 100.0, Outcome::Served),
             x if x < 0.76 => (5.0, Outcome::Error),
-            x if x < 0.82 => (1.0, Outcome::Full),
+            x if x < 0.82 => (1.0, Outcome::Rejected),
             x if x < 0.86 => (50.0, Outcome::ConnectFailed),
             x if x < 0.90 => (self.rng.f64() * 500.0, Outcome::Reset),
-            x if x < 0.92 => (0.0, Outcome::Moot),
+            x if x < 0.92 => (0.0, Outcome::Withdrawn),
             _ => (1e9, Outcome::TimedOut),
         };
         let (latency, outcome) =
@@ -102,30 +102,30 @@
         let mut entries = vec![];
         match self.rng.u32(0..6) {
             0 => {
-                let fresh = Backend { since: Some(self.now), ..server(100 + self.next) };
+                let fresh = Endpoint { started_at: Some(self.now), ..server(100 + self.next) };
                 self.list.push(fresh.clone());
                 entries.push(fresh);
             }
             1 | 2 if n > 0 => {
                 let k = self.rng.usize(0..self.list.len());
-                let states = [State::Draining, State::Gone, State::Up];
+                let states = [EndpointState::Draining, EndpointState::Removed, EndpointState::Up];
                 self.list[k].state = states[self.rng.usize(0..3)];
                 entries.push(self.list[k].clone());
             }
             3 if n > 0 => {
                 let k = self.rng.usize(0..self.list.len());
-                (self.list[k].state, self.list[k].since) = (State::Up, Some(self.now - 300.0));
+                (self.list[k].state, self.list[k].started_at) = (EndpointState::Up, Some(self.now - 300.0));
                 entries.push(self.list[k].clone());
                 entries.push(self.list[k].clone()); // a repeated line does no harm
             }
-            4 => return self.give(Event::List { scope: Scope::Failed, entries: vec![] }),
+            4 => return self.give(Event::List { scope: ListScope::Failed, entries: vec![] }),
             _ => {
-                self.list.retain(|b| b.state != State::Gone);
+                self.list.retain(|b| b.state != EndpointState::Removed);
                 let entries = self.list.clone();
                 return self.give(full(entries));
             }
         }
-        self.give(Event::List { scope: Scope::Delta, entries });
+        self.give(Event::List { scope: ListScope::Delta, entries });
     }
 
     fn run(mut self, span: Millis) -> Vec<String> {
@@ -136,7 +136,7 @@
     fn play(&mut self, span: Millis) {
         let end = self.now + span;
         let entries = self.list.clone();
-        self.give(Event::List { scope: Scope::Cached, entries });
+        self.give(Event::List { scope: ListScope::Cached, entries });
         let mut arrival = self.now;
         while self.now < end + 4000.0 {
             let first = (0..self.due.len()).min_by(|a, b| self.due[*a].0.total_cmp(&self.due[*b].0));
@@ -151,13 +151,13 @@
                 self.now = self.now.max(at);
                 match due {
                     Due::Timer(token) => self.give(Event::Timer(token)),
-                    Due::Message(bytes) => self.give(Event::Message { from: 1, bytes }),
+                    Due::Message(bytes) => self.give(Event::Gossip { from: 1, bytes }),
                     Due::Ended(id, attempt, latency, outcome) => {
                         let Some(e) = self.ends.get_mut(&id) else { continue };
                         e.2 |= outcome == Outcome::Served;
-                        let closed = e.2;
+                        let finished = e.2;
                         let request = RequestId(id);
-                        self.give(Event::Ended { request, attempt, latency, outcome, closed });
+                        self.give(Event::Ended { request, attempt, latency, outcome, finished });
                     }
                 }
             }
@@ -177,27 +177,34 @@
                 self.ends.clear();
                 self.due.clear();
                 let entries = self.list.clone();
-                self.give(Event::List { scope: Scope::Cached, entries });
+                self.give(Event::List { scope: ListScope::Cached, entries });
             }
-            7..10 => self.give(Event::Message { from: self.next as u32 % 9, bytes: vec![1, 0, 9, 3] }),
+            7..10 => self.give(Event::Gossip { from: self.next as u32 % 9, bytes: vec![1, 0, 9, 3] }),
             10..14 => self.give(ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
             14..20 => {
                 if let Some(id) = self.ends.keys().min().copied() {
                     self.ends.get_mut(&id).unwrap().2 = true;
-                    self.give(Event::Abandoned(RequestId(id)));
+                    self.give(Event::ClientClosed(RequestId(id)));
                     self.ends.retain(|_, e| !e.2 || e.1 > 0);
                 }
             }
             _ => {
                 let class = self.rng.usize(0..self.settings.classes.len());
                 let c = &self.settings.classes[class];
-                let budget = c.deadline * [0.005, 0.34, 0.7, 1.0][self.rng.usize(0..4)];
-                let key = self.rng.bool().then(|| Key(self.rng.u64(0..20)));
+                let timeout = c.deadline * [0.005, 0.34, 0.7, 1.0][self.rng.usize(0..4)];
+                let key = self.rng.bool().then(|| AffinityKey(self.rng.u64(0..20)));
                 let tenant = (!self.settings.tenants.is_empty()).then_some(TenantId(0));
                 let id = RequestId(self.next);
-                self.ends.insert(self.next, (self.now + budget, 0, false));
+                self.ends.insert(self.next, (self.now + timeout, 0, false));
                 self.next += 1;
-                self.give(Event::Request { id, class: ClassId(class), tenant, key, budget, hint: None });
+                self.give(Event::Request {
+                    id,
+                    class: ClassId(class),
+                    tenant,
+                    key,
+                    timeout,
+                    expected_cost: None,
+                });
             }
         }
     }
@@ -205,17 +212,26 @@
 
 fn variants() -> Vec<Settings> {
     let base = settings(4);
-    let mut all = vec![base.clone(), Settings { warm_keys: true, ..base.clone() }];
-    all.push(Settings { may_tell: true, proxies: 9, ..base.clone() });
-    all.push(Settings { may_tell: true, warm_keys: true, discovery: Discovery::OnRequest, ..base.clone() });
-    let mut one = Settings { rating: Rating::Silent, tenants: vec![Tenant { allowance_per_s: 3.0 }], ..base };
+    let mut all = vec![base.clone(), Settings { key_affinity: true, ..base.clone() }];
+    all.push(Settings { gossip_enabled: true, proxies: 9, ..base.clone() });
+    all.push(Settings {
+        gossip_enabled: true,
+        key_affinity: true,
+        discovery: DiscoveryMode::OnRequest,
+        ..base.clone()
+    });
+    let mut one = Settings {
+        weight_meaning: WeightMeaning::Unknown,
+        tenants: vec![Tenant { quota_per_second: 3.0 }],
+        ..base
+    };
     one.limits.max_attempts = 2;
     one.classes.remove(0);
-    one.classes[1].effect = Effect::Keyed { group: Group::Zone, window: 300.0 };
+    one.classes[1].idempotency = Idempotency::WithKey { scope: DeduplicationScope::Zone, window: 300.0 };
     all.push(one);
     let mut late = settings(4);
-    late.classes.iter_mut().for_each(|c| c.late_worth = 0.3);
-    late.classes[2].effect = Effect::Keyed { group: Group::All, window: 600.0 };
+    late.classes.iter_mut().for_each(|c| c.late_fraction = 0.3);
+    late.classes[2].idempotency = Idempotency::WithKey { scope: DeduplicationScope::All, window: 600.0 };
     all.push(late);
     all
 }
@@ -279,12 +295,12 @@
         },
         "never run twice",
     );
-    caught(|out| out.retain(|a| !matches!(a, Action::Refuse { .. } | Action::Fail(_))), "in time");
+    caught(|out| out.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_))), "in time");
     caught(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Fail(request) = *a {
-                    *a = Action::Refuse { request, retry_after: None, reason: RefusalReason::TooLate };
+                    *a = Action::Reject { request, retry_after: None, reason: RejectionReason::TooLate };
                 }
             }
         },
@@ -293,8 +309,8 @@
     caught(
         |out| {
             for a in out.iter_mut() {
-                if let Action::Send { backend, .. } = a {
-                    backend.0 = if backend.0 >= 100 { backend.0 } else { 1 };
+                if let Action::Send { endpoint, .. } = a {
+                    endpoint.0 = if endpoint.0 >= 100 { endpoint.0 } else { 1 };
                 }
             }
         },
@@ -302,7 +318,7 @@
     );
     caught(
         |out| {
-            let cold = |a: &&Action| matches!(a, Action::Send { backend, .. } if backend.0 >= 100);
+            let cold = |a: &&Action| matches!(a, Action::Send { endpoint, .. } if endpoint.0 >= 100);
             if let Some(a) = out.iter().find(cold).cloned() {
                 out.extend(std::iter::repeat_n(a, 40));
             }
--- a/crates/core/tests/subscription.rs
+++ b/crates/core/tests/subscription.rs
@@ -18,16 +18,16 @@
     next_tick: f64,
     opened: Vec<(CallId, Option<u64>)>,
     cancelled: Vec<(CallId, CancelReason)>,
-    sent: Vec<BackendId>,
+    sent: Vec<EndpointId>,
     refused: Vec<Option<f64>>,
 }
 
 impl Proxy {
-    fn new(discovery: Discovery) -> Self {
-        let staleness = Some(Staleness::default());
-        let mut settings = Settings { discovery, staleness, ..settings(1) };
+    fn new(discovery: DiscoveryMode) -> Self {
+        let notification_bounds = Some(NotificationBounds::default());
+        let mut settings = Settings { discovery, notification_bounds, ..settings(1) };
         settings.limits.drain_grace = GRACE;
-        settings.limits.ask_within = 10_000.0;
+        settings.limits.notified_without_watch = 10_000.0;
         let mut proxy = Proxy {
             balancer: Balancer::new(settings, 7),
             now: 0.0,
@@ -37,14 +37,14 @@
             sent: Vec::new(),
             refused: Vec::new(),
         };
-        proxy.give(Event::List { scope: Scope::Cached, entries: vec![server(1), server(2)] });
+        proxy.give(Event::List { scope: ListScope::Cached, entries: vec![server(1), server(2)] });
         proxy.run_until(TICK);
         assert_eq!(proxy.opened.len(), 1, "the first call is made at once");
         proxy
     }
 
     /// One that holds version 5 of the list, with a watch open.
-    fn synchronised(discovery: Discovery) -> Self {
+    fn synchronised(discovery: DiscoveryMode) -> Self {
         let mut proxy = Proxy::new(discovery);
         proxy.tell(5, true, vec![server(1), server(2)]);
         proxy
@@ -58,8 +58,8 @@
                 Action::Timer { token: 0, at } => self.next_tick = at,
                 Action::Subscribe { call, after } => self.opened.push((call, after)),
                 Action::Unsubscribe { call, reason } => self.cancelled.push((call, reason)),
-                Action::Send { backend, .. } => self.sent.push(backend),
-                Action::Refuse { retry_after, .. } => self.refused.push(retry_after),
+                Action::Send { endpoint, .. } => self.sent.push(endpoint),
+                Action::Reject { retry_after, .. } => self.refused.push(retry_after),
                 _ => {}
             }
         }
@@ -81,12 +81,12 @@
         self.opened.last().expect("a call").0
     }
 
-    fn tell_on(&mut self, call: CallId, version: u64, whole: bool, entries: Vec<Backend>) {
+    fn tell_on(&mut self, call: CallId, version: u64, whole: bool, entries: Vec<Endpoint>) {
         let read_at = self.now;
-        self.discover(DiscoveryEvent::Update { call, read_at, version, whole, entries });
+        self.discover(DiscoveryEvent::Update { call, read_at, version, complete: whole, entries });
     }
 
-    fn tell(&mut self, version: u64, whole: bool, entries: Vec<Backend>) {
+    fn tell(&mut self, version: u64, whole: bool, entries: Vec<Endpoint>) {
         self.tell_on(self.call(), version, whole, entries);
     }
 
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_list_stays_valid_while_its_watch_is_heard_and_for_a_while_after() {
-    for discovery in [Discovery::Pushed, Discovery::OnRequest] {
+    for discovery in [DiscoveryMode::Pushed, DiscoveryMode::OnRequest] {
         let mut proxy = Proxy::synchronised(discovery);
         for second in 1..30u32 {
             proxy.run_until(1000.0 * f64::from(second));
@@ -156,7 +156,7 @@
 
 #[test]
 fn a_silent_watch_is_given_up_and_what_it_misses_counts_after_a_while() {
-    let mut proxy = Proxy::synchronised(Discovery::OnRequest);
+    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
     let (heard_at, silent) = (proxy.now, proxy.call());
     proxy.run_until(heard_at + 3100.0);
     assert_eq!(proxy.cancelled, [(silent, CancelReason::Silent)]);
@@ -173,7 +173,7 @@
 
 #[test]
 fn requests_that_wait_are_refused_once_the_list_is_no_longer_valid() {
-    let mut proxy = Proxy::synchronised(Discovery::OnRequest);
+    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
     let heard_at = proxy.now;
     proxy.fail_until(heard_at + ASSUMED + GRACE - MARGIN - 300.0, CallEnd::Closed);
     for id in 0..200 {
@@ -192,20 +192,20 @@
 
 #[test]
 fn where_lists_are_pushed_what_a_lost_watch_misses_counts_at_once() {
-    let mut proxy = Proxy::synchronised(Discovery::Pushed);
+    let mut proxy = Proxy::synchronised(DiscoveryMode::Pushed);
     proxy.run_until(1500.0);
     proxy.end(CallEnd::Closed);
     proxy.valid_until_grace_after(1500.0);
-    let mut silent = Proxy::synchronised(Discovery::Pushed);
+    let mut silent = Proxy::synchronised(DiscoveryMode::Pushed);
     let heard_at = silent.now;
     silent.run_until(heard_at + 3100.0);
     silent.valid_until_grace_after(silent.cancelled.first().map_or(0.0, |_| heard_at + 3000.0));
-    Proxy::new(Discovery::Pushed).valid_until_grace_after(0.0);
+    Proxy::new(DiscoveryMode::Pushed).valid_until_grace_after(0.0);
 }
 
 #[test]
 fn a_discovery_that_refuses_connections_can_not_have_told_anything() {
-    for discovery in [Discovery::Pushed, Discovery::OnRequest] {
+    for discovery in [DiscoveryMode::Pushed, DiscoveryMode::OnRequest] {
         let mut proxy = Proxy::synchronised(discovery);
         proxy.end(CallEnd::Closed);
         proxy.fail_until(60_000.0, CallEnd::Unreachable);
@@ -219,7 +219,7 @@
 fn failures_while_discovery_was_down_do_not_put_off_calls_once_it_is_back() {
     let mut waits = Vec::new();
     for _ in 0..20 {
-        let mut proxy = Proxy::synchronised(Discovery::OnRequest);
+        let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
         proxy.end(CallEnd::Closed);
         proxy.fail_until(20_000.0, CallEnd::Unreachable);
         let from = proxy.now;
@@ -235,7 +235,7 @@
 
 #[test]
 fn news_that_can_not_be_read_counts_as_known_at_once() {
-    let mut proxy = Proxy::synchronised(Discovery::OnRequest);
+    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
     proxy.run_until(1000.0);
     proxy.end(CallEnd::Malformed);
     proxy.valid_until_grace_after(1000.0);
@@ -250,40 +250,40 @@
 
 #[test]
 fn one_bound_holds_for_a_whole_call() {
-    let mut proxy = Proxy::new(Discovery::OnRequest);
-    let (since, first) = (proxy.now, proxy.call());
-    proxy.run_until(since + 1100.0);
+    let mut proxy = Proxy::new(DiscoveryMode::OnRequest);
+    let (started_at, first) = (proxy.now, proxy.call());
+    proxy.run_until(started_at + 1100.0);
     assert_eq!(proxy.cancelled, [(first, CancelReason::ConnectTimeout)]);
-    proxy.run_until(since + 1700.0);
-    let (since, second) = (proxy.now, proxy.call());
+    proxy.run_until(started_at + 1700.0);
+    let (started_at, second) = (proxy.now, proxy.call());
     assert_ne!(first, second);
     proxy.discover(DiscoveryEvent::Connected(first)); // of a call that has been given up
     proxy.discover(DiscoveryEvent::Connected(second));
-    proxy.run_until(since + 2300.0);
+    proxy.run_until(started_at + 2300.0);
     assert_eq!(proxy.cancelled.len(), 1, "it may wait its turn");
-    proxy.run_until(since + 3100.0);
+    proxy.run_until(started_at + 3100.0);
     assert_eq!(proxy.cancelled[1], (second, CancelReason::AnswerTimeout));
 }
 
 #[test]
 fn a_heartbeat_in_an_answer_that_has_told_nothing_confirms_nothing() {
-    let mut proxy = Proxy::synchronised(Discovery::OnRequest);
+    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
     proxy.end(CallEnd::Closed);
     let ended_at = proxy.now;
     proxy.await_call();
-    let (since, call) = (proxy.now, proxy.call());
+    let (started_at, call) = (proxy.now, proxy.call());
     proxy.discover(DiscoveryEvent::Connected(call));
     for _ in 0..2 {
         proxy.run_until(proxy.now + 1000.0);
         proxy.heartbeat();
         proxy.valid_until_grace_after(ended_at + ASSUMED);
     }
-    proxy.run_until(since + 3100.0);
+    proxy.run_until(started_at + 3100.0);
     assert_eq!(proxy.cancelled, [(call, CancelReason::AnswerTimeout)]);
-    proxy.run_until(since + 4200.0);
+    proxy.run_until(started_at + 4200.0);
     assert_eq!(proxy.opened.last().expect("a call").1, None, "the whole list is wanted");
     // The first object may say that nothing has changed.
-    let mut proxy = Proxy::synchronised(Discovery::OnRequest);
+    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
     proxy.end(CallEnd::Closed);
     proxy.await_call();
     proxy.tell(5, false, Vec::new());
@@ -292,7 +292,7 @@
 
 #[test]
 fn after_a_move_the_former_watch_is_heeded_until_the_new_address_has_told_its_list() {
-    let mut proxy = Proxy::synchronised(Discovery::OnRequest);
+    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
     let former = proxy.call();
     proxy.run_until(1000.0);
     proxy.discover(DiscoveryEvent::Moved);
@@ -300,7 +300,7 @@
     assert_eq!(proxy.opened.last(), Some(&(new, None)), "a call is made at once, for the whole list");
     assert!(former != new && proxy.cancelled.is_empty());
     proxy.valid_until_grace_after(1000.0 + MOVED);
-    let draining = |id| Backend { state: State::Draining, ..server(id) };
+    let draining = |id| Endpoint { state: EndpointState::Draining, ..server(id) };
     proxy.tell_on(former, 6, false, vec![draining(1)]);
     for id in 0..4 {
         assert!(proxy.sends(id));
@@ -321,7 +321,7 @@
 
 #[test]
 fn a_move_without_an_answer_ends_the_list_s_validity_whatever_the_former_watch_says() {
-    let mut proxy = Proxy::synchronised(Discovery::OnRequest);
+    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
     let former = proxy.call();
     proxy.discover(DiscoveryEvent::Moved);
     let moved_at = proxy.now;
@@ -335,8 +335,8 @@
 
 #[test]
 fn versions_decide_what_is_news() {
-    let mut proxy = Proxy::synchronised(Discovery::OnRequest);
-    let draining = Backend { state: State::Draining, ..server(1) };
+    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
+    let draining = Endpoint { state: EndpointState::Draining, ..server(1) };
     assert!(proxy.balancer.admits_update(proxy.call(), 6, false));
     assert!(!proxy.balancer.admits_update(proxy.call(), 4, true), "older than what is held");
     assert!(!proxy.balancer.admits_update(CallId(99), 6, true), "of no call that is open");
@@ -356,9 +356,9 @@
 
 #[test]
 fn a_successor_has_little_time_until_it_must_know_the_list() {
-    let mut proxy = Proxy::new(Discovery::OnRequest);
+    let mut proxy = Proxy::new(DiscoveryMode::OnRequest);
     let started_at = proxy.now;
-    proxy.discover(DiscoveryEvent::Succeeded);
+    proxy.discover(DiscoveryEvent::TakeoverStarted);
     proxy.valid_until_grace_after(started_at + 2000.0);
     proxy.tell(5, true, vec![server(1)]);
     proxy.valid_until_grace_after(proxy.now + ASSUMED);
--- a/crates/core/tests/upkeep.rs
+++ b/crates/core/tests/upkeep.rs
@@ -9,12 +9,12 @@
 /// Listed servers, and those of them that get nothing.
 fn standings(hand: &Hand) -> (usize, usize) {
     let counts = hand.balancer.gauges(hand.now).standings;
-    let avoided = Standing::ALL.iter().zip(counts).filter(|(s, _)| s.is_avoided());
+    let avoided = EndpointStatus::ALL.iter().zip(counts).filter(|(s, _)| s.is_avoided());
     (counts.iter().sum(), avoided.map(|(_, n)| n).sum())
 }
 
-fn maintenance(id: u64, banned: bool) -> Event {
-    Event::Maintenance { backend: BackendId(id), banned }
+fn maintenance(id: u64, enabled: bool) -> Event {
+    Event::Maintenance { endpoint: EndpointId(id), enabled }
 }
 
 /// Serves safe requests, one a millisecond for a second and each in 5 ms; how many went to each server.
@@ -69,7 +69,7 @@
 fn back_from_maintenance_a_server_is_cold_until_the_list_tells_more() {
     let sends = |hand: &mut Hand, first: u64| served(hand, first).get(&1).copied().unwrap_or(0);
     let mut slowly = settings(2);
-    slowly.limits.cold = 60_000.0;
+    slowly.limits.slow_start_window = 60_000.0;
     let mut hand = Hand::new(slowly, vec![server(1), server(2), server(3)]);
     let warm = sends(&mut hand, 10_000);
     hand.give(maintenance(1, true));
@@ -94,12 +94,12 @@
     assert!(after > before * 4 / 5, "{after} of {before}");
 }
 
-fn upload(id: u64, stage: Upload) -> Event {
+fn upload(id: u64, stage: UploadStage) -> Event {
     Event::Upload { request: RequestId(id), stage }
 }
 
 fn answers(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail(_))).count()
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
 }
 
 #[test]
@@ -108,7 +108,7 @@
         let mut hand = Hand::new(settings(1), vec![server(1)]);
         assert_eq!(sends(&hand.give(request(1, 1, 3000.0))).len(), 1);
         if uploading {
-            hand.give(upload(1, Upload::Begun));
+            hand.give(upload(1, UploadStage::Started));
         }
         let more: usize = (2..20).map(|id| sends(&hand.give(request(id, 0, 3000.0))).len()).sum();
         (hand, more)
@@ -118,7 +118,7 @@
     // The others are answered in time; the one that still comes is not.
     let others = answers(&hand.pass(10_000.0));
     assert_eq!(others, 18);
-    hand.give(upload(1, Upload::Whole));
+    hand.give(upload(1, UploadStage::Complete));
     assert_eq!(answers(&hand.pass(500.0)), 0, "its time has begun just now");
     assert_eq!(answers(&hand.pass(3000.0)), 1);
 }
@@ -128,9 +128,9 @@
     for spent in [false, true] {
         let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
         assert_eq!(sends(&hand.give(request(1, 0, 3000.0))).len(), 1);
-        hand.give(upload(1, Upload::Begun));
+        hand.give(upload(1, UploadStage::Started));
         if spent {
-            hand.give(upload(1, Upload::Spent));
+            hand.give(upload(1, UploadStage::NotReplayable));
         }
         let next = hand.give(ended(1, 0, 5.0, Outcome::ConnectFailed));
         assert_eq!((sends(&next).len(), answers(&next)), if spent { (0, 1) } else { (1, 0) });
@@ -138,13 +138,13 @@
 }
 
 /// The settings with another class in place of the first, and the first one's number kept for open requests.
-fn retuned(effect: Effect, max_attempts: u32) -> Event {
+fn retuned(idempotency: Idempotency, max_attempts: u32) -> Event {
     let mut settings = settings(1);
     settings.limits.max_attempts = max_attempts;
-    let new = Class { effect, ..settings.classes[0].clone() };
+    let new = RequestClass { idempotency, ..settings.classes[0].clone() };
     settings.classes.push(new);
-    let (from, offered) = (vec![Some(0), Some(1), Some(2), Some(0)], vec![false, true, true, true]);
-    Event::Retune(Box::new(Retuning { settings, from, offered }))
+    let (inherits_from, offered) = (vec![Some(0), Some(1), Some(2), Some(0)], vec![false, true, true, true]);
+    Event::Reconfigure(Box::new(Reconfiguration { settings, inherits_from, offered }))
 }
 
 #[test]
@@ -152,7 +152,7 @@
     let mut hand = Hand::new(settings(1), vec![server(1), server(2), server(3)]);
     let first = |actions: Vec<Action>| sends(&actions).len();
     assert_eq!(first(hand.give(request(1, 0, 3000.0))), 1);
-    hand.give(retuned(Effect::Unsafe, 1));
+    hand.give(retuned(Idempotency::Never, 1));
     // Safe to repeat, and more than once, as when it came.
     assert_eq!(first(hand.give(ended(1, 0, 5.0, Outcome::Reset))), 1);
     assert_eq!(first(hand.give(ended(1, 1, 5.0, Outcome::Reset))), 1);
@@ -162,7 +162,7 @@
     // What surely never ran could be repeated, but for the attempts that are allowed now.
     assert_eq!(first(hand.give(request(3, 3, 3000.0))), 1);
     let answer = hand.give(ended(3, 0, 5.0, Outcome::ConnectFailed));
-    assert!(matches!(answer[..], [Action::Refuse { request: RequestId(3), .. }]), "{answer:?}");
+    assert!(matches!(answer[..], [Action::Reject { request: RequestId(3), .. }]), "{answer:?}");
 }
 
 #[test]
@@ -173,7 +173,7 @@
         sent.extend(sends(&hand.give(request(id, 0, 3000.0))).iter().map(|s| s.0));
     }
     assert!(sent.len() < 20, "some wait");
-    sent.extend(sends(&hand.give(retuned(Effect::Safe, 4))).iter().map(|s| s.0));
+    sent.extend(sends(&hand.give(retuned(Idempotency::Always, 4))).iter().map(|s| s.0));
     let mut at = 0;
     while at < sent.len() {
         sent.extend(sends(&hand.give(ended(sent[at], 0, 5.0, Outcome::Served))).iter().map(|s| s.0));
@@ -186,7 +186,7 @@
 #[test]
 fn where_nothing_safe_is_left_a_server_is_tried_with_what_there_is() {
     let mut hand = Hand::new(settings(1), vec![server(1), server(2)]);
-    hand.give(retuned(Effect::Unsafe, 4));
+    hand.give(retuned(Idempotency::Never, 4));
     // One fails until it is closed, and is well afterwards.
     let (mut id, mut back) = (0, false);
     for _ in 0..400 {
@@ -203,9 +203,9 @@
 /// What a proxy tells the others while it leaves or stays.
 fn word(leaving: bool) -> Vec<u8> {
     let mut tells = settings(2);
-    (tells.may_tell, tells.me) = (true, 1);
+    (tells.gossip_enabled, tells.proxy_index) = (true, 1);
     let mut hand = Hand::new(tells, vec![server(1)]);
-    hand.give(Event::Leaving(leaving));
+    hand.give(Event::Draining(leaving));
     let mut told = hand.pass(2000.0).into_iter().filter_map(|a| match a {
         Action::Broadcast(bytes) => Some(bytes),
         _ => None,
@@ -218,10 +218,10 @@
     // Safe requests that are out at once, of thirty that come while the other proxies hold nothing.
     let out = |leaving: bool| {
         let mut hears = settings(4);
-        hears.may_tell = true;
+        hears.gossip_enabled = true;
         let mut hand = Hand::new(hears, (1..7).map(server).collect());
         for _ in 0..20 {
-            (1..4).for_each(|from| drop(hand.give(Event::Message { from, bytes: word(leaving) })));
+            (1..4).for_each(|from| drop(hand.give(Event::Gossip { from, bytes: word(leaving) })));
             hand.pass(100.0);
         }
         (1..31).map(|id| sends(&hand.give(request(id, 0, 3000.0))).len()).sum::<usize>()
--- a/crates/core/tests/wire_names.rs
+++ b/crates/core/tests/wire_names.rs
@@ -28,9 +28,9 @@
     actions.iter().filter_map(bytes).collect()
 }
 
-fn proxy(me: u32, servers: &[u64]) -> Hand {
-    let settings = Settings { me, may_tell: true, ..settings(3) };
-    Hand::seeded(settings, servers.iter().map(|id| server(*id)).collect(), u64::from(me) + 1)
+fn proxy(proxy_index: u32, servers: &[u64]) -> Hand {
+    let settings = Settings { proxy_index, gossip_enabled: true, ..settings(3) };
+    Hand::seeded(settings, servers.iter().map(|id| server(*id)).collect(), u64::from(proxy_index) + 1)
 }
 
 /// The word of a proxy that has one request out at each of these servers and sees nothing wrong.
@@ -40,7 +40,7 @@
     // All others are taken out of use, so that the requests go where they should.
     for id in at {
         for other in listed {
-            teller.give(Event::Maintenance { backend: BackendId(*other), banned: other != id });
+            teller.give(Event::Maintenance { endpoint: EndpointId(*other), enabled: other != id });
         }
         request_id += 1;
         let mut sent = teller.give(request(request_id, 1, 60_000.0));
@@ -54,7 +54,7 @@
 fn word_of_blame(listed: &[u64], ill: u64) -> Vec<u8> {
     let mut teller = proxy(1, listed);
     for other in listed.iter().filter(|id| **id != ill) {
-        teller.give(Event::Maintenance { backend: BackendId(*other), banned: true });
+        teller.give(Event::Maintenance { endpoint: EndpointId(*other), enabled: true });
     }
     let mut words = Vec::new();
     for id in 1..=8 {
@@ -72,11 +72,11 @@
         let mut hearer = proxy(0, listed);
         hearer.pass(700.0); // what has just been served is not believed to be ill
         for from in [1, 2] {
-            hearer.give(Event::Message { from, bytes: word.to_vec() });
+            hearer.give(Event::Gossip { from, bytes: word.to_vec() });
         }
         let banned = listed.iter().filter(|other| **other != id);
         for other in banned {
-            hearer.give(Event::Maintenance { backend: BackendId(*other), banned: true });
+            hearer.give(Event::Maintenance { endpoint: EndpointId(*other), enabled: true });
         }
         blamed(&hearer) == 1
     };
@@ -85,7 +85,7 @@
 
 /// Servers that are out of use because other proxies hold them for ill.
 fn blamed(hand: &Hand) -> usize {
-    hand.balancer.gauges(hand.now).standings[Standing::Blamed as usize]
+    hand.balancer.gauges(hand.now).standings[EndpointStatus::Blamed as usize]
 }
 
 #[test]
@@ -119,7 +119,7 @@
     hearer.give(full(vec![server(one), server(7)]));
     hearer.pass(5000.0);
     for from in [1, 2] {
-        hearer.give(Event::Message { from, bytes: hearer_word.clone() });
+        hearer.give(Event::Gossip { from, bytes: hearer_word.clone() });
     }
     assert_eq!(blamed(&hearer), 1, "two peers blame it");
 }
--- a/crates/proxy/src/access_record.rs
+++ b/crates/proxy/src/access_record.rs
@@ -3,7 +3,7 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-use leadrelay_core::BackendId;
+use leadrelay_core::EndpointId;
 use tokio::time::Instant;
 use tracing::info;
 
@@ -31,7 +31,7 @@
     }
 
     /// Notes that an attempt goes out; `name` is the backend's, or its number where it has none any more.
-    pub fn sent(&self, backend: BackendId, name: Option<&str>) {
+    pub fn sent(&self, backend: EndpointId, name: Option<&str>) {
         let now = Instant::now();
         self.first_sent.set(self.first_sent.get().or(Some(now)));
         self.last_sent.set(Some(now));
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use hyper::Method;
-use leadrelay_core::settings::Names;
-use leadrelay_core::{Class, ClassId, Retuning, Settings};
+use leadrelay_core::names::Names;
+use leadrelay_core::{ClassId, Reconfiguration, RequestClass, Settings};
 use rustc_hash::FxHashSet;
 
 use crate::config::{Dialect, Plain};
@@ -24,7 +24,7 @@
 
 struct Place {
     name: Rc<str>,
-    rules: Class,
+    rules: RequestClass,
     hold: Hold,
     offered: bool,
 }
@@ -33,7 +33,7 @@
 pub struct ClassHandle {
     pub id: ClassId,
     pub name: Rc<str>,
-    pub rules: Class,
+    pub rules: RequestClass,
     pub hold: Hold,
 }
 
@@ -45,8 +45,8 @@
 }
 
 impl Classes {
-    pub fn new(names: &Names, rules: &[Class], dialect: &Dialect) -> Self {
-        let place = |(name, rules): (&String, &Class)| Place {
+    pub fn new(names: &Names, rules: &[RequestClass], dialect: &Dialect) -> Self {
+        let place = |(name, rules): (&String, &RequestClass)| Place {
             name: name.as_str().into(),
             rules: rules.clone(),
             hold: Hold::default(),
@@ -90,7 +90,7 @@
     /// Offers the classes of these settings and no others; returns them with their places for the module.
     pub fn retune(
         &mut self, names: &Names, mut settings: Settings, dialect: &Dialect,
-    ) -> Result<Retuning, TooManyHeldClasses> {
+    ) -> Result<Reconfiguration, TooManyHeldClasses> {
         let free = |p: &Place| !p.offered && Rc::strong_count(&p.hold) == 1;
         let known = |p: &Place| {
             names.classes.iter().zip(&settings.classes).any(|(n, c)| *p.name == **n && p.rules == *c)
@@ -130,7 +130,11 @@
         self.tenants.clone_from(&names.tenants);
         self.dialect.clone_from(dialect);
         settings.classes = self.places.iter().map(|p| p.rules.clone()).collect();
-        Ok(Retuning { settings, from, offered: self.places.iter().map(|p| p.offered).collect() })
+        Ok(Reconfiguration {
+            settings,
+            inherits_from: from,
+            offered: self.places.iter().map(|p| p.offered).collect(),
+        })
     }
 }
 
--- a/crates/proxy/src/classes/tests.rs
+++ b/crates/proxy/src/classes/tests.rs
@@ -8,10 +8,10 @@
         .iter()
         .map(|(name, deadline)| serde_json::json!({"name": name, "deadline": deadline, "effect": "idempotent"}))
         .collect();
-    settings::parse(&serde_json::json!({ "classes": classes }))
+    settings::json::parse(&serde_json::json!({ "classes": classes }))
 }
 
-fn retuned(classes: &mut Classes, to: &[(&str, f64)]) -> Retuning {
+fn retuned(classes: &mut Classes, to: &[(&str, f64)]) -> Reconfiguration {
     let (settings, names) = parsed(to);
     classes.retune(&names, settings, &Dialect::Platform).expect("it fits")
 }
@@ -24,7 +24,7 @@
     // Reordered, with other rules for one.
     let to = retuned(&mut classes, &[("b", 200.0), ("a", 300.0)]);
     let (a, b) = (classes.find("a").expect("on offer"), classes.find("b").expect("on offer"));
-    assert_eq!((b.id.0, a.rules.deadline, to.from[a.id.0]), (1, 300.0, Some(open.id.0)));
+    assert_eq!((b.id.0, a.rules.deadline, to.inherits_from[a.id.0]), (1, 300.0, Some(open.id.0)));
     assert!(a.id != open.id && to.settings.classes[open.id.0].deadline == 100.0);
     assert!(!to.offered[open.id.0] && to.offered[a.id.0]);
     // Dropped, and its place stays for as long as it is held.
--- a/crates/proxy/src/config/file.rs
+++ b/crates/proxy/src/config/file.rs
@@ -4,9 +4,11 @@
 use std::hash::{BuildHasher, RandomState};
 use std::sync::LazyLock;
 
-use leadrelay_core::settings::{Connections, Names, index_of};
+use leadrelay_core::names::{Names, intern};
+use leadrelay_core::settings::json::Connections;
 use leadrelay_core::{
-    Class, Discovery, Effect, Group, Limits, Prices, Rating, Settings, Staleness, Tenant, ZoneId,
+    DeduplicationScope, DiscoveryMode, Idempotency, Limits, NotificationBounds, Prices, RequestClass,
+    Settings, Tenant, WeightMeaning, ZoneId,
 };
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -14,7 +16,9 @@
 
 use super::fault::{Fault, Text};
 use super::values::{Address, FORMATS, Size, Span};
-use super::{Config, Dialect, Format, Logging, Origin, PeerAddresses, Plain, Route, Source, most_held};
+use super::{
+    Config, Dialect, Format, Logging, Origin, PeerAddresses, Plain, Route, Source, max_open_requests,
+};
 use crate::host::{Health, Host};
 
 /// Configuration of leadrelay. One listener and one backend make a working proxy; every other key has a default.
@@ -430,31 +434,31 @@
             tenants: self.tenants.iter().map(|t| t.name.clone()).collect(),
             ..Names::default()
         };
-        let zone = self.zone.as_ref().map(|zone| ZoneId(index_of(&mut names.zones, zone) as u32));
+        let zone = self.zone.as_ref().map(|zone| ZoneId(intern(&mut names.zones, zone) as u32));
         let limits = Limits {
             // The last list is used for as long as discovery can't be heard.
             drain_grace: f64::INFINITY,
-            ask_within: f64::INFINITY,
-            start_capacity: self.cold.capacity,
-            cold: self.cold.span.ms().max(1.0),
-            fall_multiple: self.cold.multiple,
-            fall: self.cold.fall.ms().max(1.0),
-            most_held: most_held(self.limits.descriptors),
+            notified_without_watch: f64::INFINITY,
+            initial_capacity: self.cold.capacity,
+            slow_start_window: self.cold.span.ms().max(1.0),
+            overload_multiple: self.cold.multiple,
+            overload_window: self.cold.fall.ms().max(1.0),
+            max_open_requests: max_open_requests(self.limits.descriptors),
             max_attempts: self.limits.attempts,
         };
         let settings = Settings {
-            me: self.peers.as_ref().map_or(0, |p| p.me),
+            proxy_index: self.peers.as_ref().map_or(0, |p| p.me),
             proxies: self.peers.as_ref().map_or(1, |p| p.addresses.len() as u32),
             zone,
             classes: classes.iter().map(ClassOf::rules).collect(),
-            tenants: self.tenants.iter().map(|t| Tenant { allowance_per_s: t.per_second }).collect(),
-            over_share_worth: self.over_allowance_worth,
-            worth_by_work: false,
-            discovery: Discovery::Pushed,
-            staleness: self.discovery.is_some().then(Staleness::default),
-            rating: Rating::Size,
-            warm_keys: false,
-            may_tell: self.peers.is_some(),
+            tenants: self.tenants.iter().map(|t| Tenant { quota_per_second: t.per_second }).collect(),
+            over_quota_fraction: self.over_allowance_worth,
+            weight_per_work: false,
+            discovery: DiscoveryMode::Pushed,
+            notification_bounds: self.discovery.is_some().then(NotificationBounds::default),
+            weight_meaning: WeightMeaning::Capacity,
+            key_affinity: false,
+            gossip_enabled: self.peers.is_some(),
             prices: Prices::default(),
             limits,
         };
@@ -498,21 +502,23 @@
 }
 
 impl ClassOf {
-    fn rules(&self) -> Class {
+    fn rules(&self) -> RequestClass {
         let group = match self.scope {
-            Scope::All => Group::All,
-            Scope::Zone => Group::Zone,
+            Scope::All => DeduplicationScope::All,
+            Scope::Zone => DeduplicationScope::Zone,
         };
-        Class {
-            aim: self.aim.unwrap_or(self.deadline).ms(),
+        RequestClass {
+            latency_objective: self.aim.unwrap_or(self.deadline).ms(),
             deadline: self.deadline.ms(),
-            aim_stretch: 0.0,
-            worth: self.worth,
-            late_worth: self.late_worth,
-            effect: match self.effect {
-                EffectOf::Safe => Effect::Safe,
-                EffectOf::Once => Effect::Unsafe,
-                EffectOf::Keyed => Effect::Keyed { group, window: self.window.map_or(0.0, Span::ms) },
+            objective_stretch: 0.0,
+            priority_weight: self.worth,
+            late_fraction: self.late_worth,
+            idempotency: match self.effect {
+                EffectOf::Safe => Idempotency::Always,
+                EffectOf::Once => Idempotency::Never,
+                EffectOf::Keyed => {
+                    Idempotency::WithKey { scope: group, window: self.window.map_or(0.0, Span::ms) }
+                }
             },
         }
     }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -11,7 +11,8 @@
 use std::path::Path;
 
 use leadrelay_core::Settings;
-use leadrelay_core::settings::{Connections, Names};
+use leadrelay_core::names::Names;
+use leadrelay_core::settings::json::Connections;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -25,7 +26,7 @@
 /// little before that leaves room to hear of better requests.
 const HELD: (usize, usize) = (5, 16);
 
-fn most_held(sockets: usize) -> usize {
+fn max_open_requests(sockets: usize) -> usize {
     sockets * HELD.0 / HELD.1
 }
 
@@ -251,7 +252,7 @@
         let config = parse(&text.concat(), "f").expect("good");
         assert!(matches!(&config.source, Source::Fixed(hosts) if hosts.len() == 1024));
         assert_eq!((config.settings.classes.len(), config.settings.tenants.len()), (1024, 1024));
-        assert_eq!((config.settings.proxies, config.settings.me), (1024, 1023));
+        assert_eq!((config.settings.proxies, config.settings.proxy_index), (1024, 1023));
         assert_eq!(config.peers.expect("peers").peers.len(), 1024);
     }
 
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -2,13 +2,14 @@
 
 use std::net::SocketAddr;
 
-use leadrelay_core::Staleness;
-use leadrelay_core::settings::{self, number_of};
+use leadrelay_core::NotificationBounds;
+use leadrelay_core::names::hash_name;
+use leadrelay_core::settings::json as settings;
 use serde::Deserialize;
 use serde_json::Value;
 
 use super::fault::Fault;
-use super::{Config, Dialect, Logging, Origin, PeerAddresses, Source, most_held};
+use super::{Config, Dialect, Logging, Origin, PeerAddresses, Source, max_open_requests};
 
 /// The file as it stands; unknown keys are passed over.
 #[derive(Deserialize)]
@@ -125,18 +126,21 @@
         return Err(plain("'settings' has no named classes".into()));
     }
     // A wrong number would make this proxy claim another's part of the servers.
-    if settings.me >= settings.proxies {
-        return Err(plain(format!("'settings': proxy number {} of {}", settings.me, settings.proxies)));
+    if settings.proxy_index >= settings.proxies {
+        return Err(plain(format!(
+            "'settings': proxy number {} of {}",
+            settings.proxy_index, settings.proxies
+        )));
     }
     let peers = match (file.peer_listen, file.peers_all) {
-        (Some(listen), Some(all)) if settings.may_tell => {
+        (Some(listen), Some(all)) if settings.gossip_enabled => {
             Some(PeerAddresses { listen, peers: file.peers, all: Some(all) })
         }
         _ => None,
     };
     let sockets = file.limits.sockets.unwrap_or(1024).max(64);
-    settings.limits.most_held = most_held(sockets);
-    settings.staleness = Some(Staleness::default());
+    settings.limits.max_open_requests = max_open_requests(sockets);
+    settings.notification_bounds = Some(NotificationBounds::default());
     Ok(Config {
         name: file.name,
         listen: file.listen,
@@ -159,7 +163,7 @@
 /// Hexadecimal as a rule; other text still gives the same number each time.
 fn seed(value: &Value) -> Option<u64> {
     match value {
-        Value::String(text) => Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| number_of(text))),
+        Value::String(text) => Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_name(text))),
         other => other.as_u64(),
     }
 }
--- a/crates/proxy/src/config/platform/tests.rs
+++ b/crates/proxy/src/config/platform/tests.rs
@@ -1,6 +1,6 @@
 //! The operators' configuration.
 
-use leadrelay_core::settings::Connections;
+use leadrelay_core::settings::json::Connections;
 
 use super::*;
 
--- a/crates/proxy/src/driver/backends.rs
+++ b/crates/proxy/src/driver/backends.rs
@@ -3,13 +3,13 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use leadrelay_core::settings::{Names, index_of, number_of};
-use leadrelay_core::{Backend, BackendId, Balancer, CellId, KindId, Millis, State, ZoneId};
+use leadrelay_core::names::{Names, hash_name, intern};
+use leadrelay_core::{Balancer, CellId, Endpoint, EndpointId, EndpointState, MachineClassId, Millis, ZoneId};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::clock::Clock;
 use crate::host::{Health, Host};
-use crate::upstream::{Endpoint, Upstreams};
+use crate::upstream::{Upstream, Upstreams};
 
 /// Zones and kinds that are told apart: a bound, whatever discovery comes up with over the years.
 const NAMES: usize = 4096;
@@ -34,24 +34,24 @@
 /// The listed backends.
 #[derive(Default)]
 pub struct Backends {
-    endpoints: FxHashMap<BackendId, Rc<Endpoint>>,
+    endpoints: FxHashMap<EndpointId, Rc<Upstream>>,
     /// The list as it stands.
-    hosts: FxHashMap<BackendId, Host>,
+    hosts: FxHashMap<EndpointId, Host>,
     /// When each listed backend started. That is reckoned once, as the wall clock may be stepped after it.
-    starts: FxHashMap<BackendId, Start>,
+    starts: FxHashMap<EndpointId, Start>,
     /// Backends that have ever been listed.
     listed: Listed,
 }
 
 impl Backends {
     /// Takes in a list; returns its lines for the core. What a whole list lacks gets nothing more.
-    pub fn apply(&mut self, whole: bool, hosts: Vec<Host>, context: &mut Context) -> Vec<Backend> {
+    pub fn apply(&mut self, whole: bool, hosts: Vec<Host>, context: &mut Context) -> Vec<Endpoint> {
         if whole {
             self.hosts.clear();
         }
-        let entries: Vec<Backend> = hosts.into_iter().map(|host| self.apply_host(host, context)).collect();
+        let entries: Vec<Endpoint> = hosts.into_iter().map(|host| self.apply_host(host, context)).collect();
         if whole {
-            let listed: FxHashSet<BackendId> = entries.iter().map(|entry| entry.id).collect();
+            let listed: FxHashSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
             // Attempts that are out keep what they need of a backend that has left.
             self.starts.retain(|id, _| listed.contains(id));
             self.endpoints.retain(|id, endpoint| {
@@ -65,34 +65,35 @@
         entries
     }
 
-    fn apply_host(&mut self, host: Host, context: &mut Context) -> Backend {
-        let id = BackendId(number_of(&host.host));
+    fn apply_host(&mut self, host: Host, context: &mut Context) -> Endpoint {
+        let id = EndpointId(hash_name(&host.host));
         self.listed.add(id);
         let state = match host.health {
-            Health::Up if host.dial.is_some() => State::Up,
-            Health::Up | Health::Draining => State::Draining,
-            Health::Removed => State::Gone,
+            Health::Up if host.dial.is_some() => EndpointState::Up,
+            Health::Up | Health::Draining => EndpointState::Draining,
+            Health::Removed => EndpointState::Removed,
         };
         self.connect(id, &host, context);
         if let Some(endpoint) = self.endpoints.get(&id) {
-            endpoint.set_open(state == State::Up);
+            endpoint.set_open(state == EndpointState::Up);
         }
         let names = &mut context.names;
         let zone = host.site.as_ref().and_then(|zone| known(&mut names.zones, zone)).map(ZoneId);
-        let kind = host.class.as_ref().and_then(|kind| known(&mut names.kinds, kind)).map(KindId);
+        let kind =
+            host.class.as_ref().and_then(|kind| known(&mut names.machine_classes, kind)).map(MachineClassId);
         let (cell, rating) = (host.block.map(CellId), host.share.unwrap_or(1.0));
         let since = self.since(id, host.born_ms, context.clock);
-        if state == State::Gone {
+        if state == EndpointState::Removed {
             self.endpoints.remove(&id);
             self.hosts.remove(&id);
             self.starts.remove(&id);
         } else {
             self.hosts.insert(id, host);
         }
-        Backend { id, zone, kind, cell, state, rating, since }
+        Endpoint { id, zone, machine_class: kind, cell, state, weight: rating, started_at: since }
     }
 
-    fn since(&mut self, id: BackendId, born_ms: f64, clock: &Clock) -> Option<Millis> {
+    fn since(&mut self, id: EndpointId, born_ms: f64, clock: &Clock) -> Option<Millis> {
         let known = self.starts.get(&id).filter(|start| start.born_ms == born_ms);
         let start = known.copied().unwrap_or_else(|| Start { born_ms, since: clock.born(born_ms) });
         self.starts.insert(id, start);
@@ -100,13 +101,13 @@
     }
 
     /// Makes an endpoint for a backend's process, unless there is one for that process at that address.
-    fn connect(&mut self, id: BackendId, host: &Host, context: &mut Context) {
+    fn connect(&mut self, id: EndpointId, host: &Host, context: &mut Context) {
         let Some(address) = host.dial else { return };
-        let same = |endpoint: &Rc<Endpoint>| endpoint.address == address && endpoint.born_ms == host.born_ms;
+        let same = |endpoint: &Rc<Upstream>| endpoint.address == address && endpoint.born_ms == host.born_ms;
         if self.endpoints.get(&id).is_some_and(same) {
             return;
         }
-        let endpoint = Endpoint::new(address, host.born_ms);
+        let endpoint = Upstream::new(address, host.born_ms);
         endpoint.set_banned(context.balancer.in_maintenance(id));
         context.upstreams.add(&endpoint);
         if let Some(old) = self.endpoints.insert(id, endpoint) {
@@ -114,11 +115,11 @@
         }
     }
 
-    pub fn endpoint(&self, id: BackendId) -> Option<&Rc<Endpoint>> {
+    pub fn endpoint(&self, id: EndpointId) -> Option<&Rc<Upstream>> {
         self.endpoints.get(&id)
     }
 
-    pub fn name(&self, id: BackendId) -> Option<&str> {
+    pub fn name(&self, id: EndpointId) -> Option<&str> {
         self.hosts.get(&id).map(|host| host.host.as_str())
     }
 
@@ -126,15 +127,15 @@
         self.hosts.values()
     }
 
-    pub fn was_listed(&self, id: BackendId) -> bool {
+    pub fn was_listed(&self, id: EndpointId) -> bool {
         self.listed.ids.contains(&id)
     }
 
-    pub fn ever_listed(&self) -> impl Iterator<Item = BackendId> {
+    pub fn ever_listed(&self) -> impl Iterator<Item = EndpointId> {
         self.listed.ids.iter().copied()
     }
 
-    pub fn note_listed(&mut self, id: BackendId) {
+    pub fn note_listed(&mut self, id: EndpointId) {
         self.listed.add(id);
     }
 }
@@ -142,12 +143,12 @@
 /// The backends that were listed last, listed or not at present: a bound, as they come and go for ever.
 #[derive(Default)]
 struct Listed {
-    ids: FxHashSet<BackendId>,
-    order: VecDeque<BackendId>,
+    ids: FxHashSet<EndpointId>,
+    order: VecDeque<EndpointId>,
 }
 
 impl Listed {
-    fn add(&mut self, id: BackendId) {
+    fn add(&mut self, id: EndpointId) {
         if self.ids.insert(id) {
             self.order.push_back(id);
             if self.order.len() > LISTED
@@ -163,7 +164,7 @@
 fn known(names: &mut Vec<String>, name: &str) -> Option<u32> {
     let number = match names.iter().position(|known| known == name) {
         Some(number) => number,
-        None if names.len() < NAMES => index_of(names, name),
+        None if names.len() < NAMES => intern(names, name),
         None => return None,
     };
     u32::try_from(number).ok()
--- a/crates/proxy/src/driver/discovery_news.rs
+++ b/crates/proxy/src/driver/discovery_news.rs
@@ -1,6 +1,8 @@
 //! What is seen of discovery, and what the core wants of it; backend lists reach the core here.
 
-use leadrelay_core::{Backend, CallEnd, CallId, CancelReason, DiscoveryEvent, Event, Scope, State};
+use leadrelay_core::{
+    CallEnd, CallId, CancelReason, DiscoveryEvent, Endpoint, EndpointState, Event, ListScope,
+};
 use tokio::time::Instant;
 use tracing::{info, warn};
 
@@ -69,25 +71,31 @@
         let entries = if admitted { self.apply_hosts(whole, hosts) } else { Vec::new() };
         self.last_news = read_at;
         let read_at = self.clock.at(read_at);
-        self.handle(Event::Discovery(DiscoveryEvent::Update { call, read_at, version, whole, entries }));
+        self.handle(Event::Discovery(DiscoveryEvent::Update {
+            call,
+            read_at,
+            version,
+            complete: whole,
+            entries,
+        }));
         if admitted && whole {
             self.serve();
         }
     }
 
     /// Takes in a list that is fixed or remembered.
-    pub(super) fn apply_list(&mut self, scope: Scope, hosts: Vec<Host>) {
+    pub(super) fn apply_list(&mut self, scope: ListScope, hosts: Vec<Host>) {
         let entries = self.apply_hosts(true, hosts);
-        let in_use = entries.iter().any(|entry| entry.state == State::Up);
+        let in_use = entries.iter().any(|entry| entry.state == EndpointState::Up);
         self.handle(Event::List { scope, entries });
         match scope {
-            Scope::Full => self.serve(),
-            Scope::Cached => self.has_remembered_list |= in_use,
-            Scope::Delta | Scope::Failed => {}
+            ListScope::Full => self.serve(),
+            ListScope::Cached => self.has_remembered_list |= in_use,
+            ListScope::Delta | ListScope::Failed => {}
         }
     }
 
-    fn apply_hosts(&mut self, whole: bool, hosts: Vec<Host>) -> Vec<Backend> {
+    fn apply_hosts(&mut self, whole: bool, hosts: Vec<Host>) -> Vec<Endpoint> {
         self.clock.follow_wall_clock();
         let mut context = Context {
             balancer: &self.balancer,
--- a/crates/proxy/src/driver/handover.rs
+++ b/crates/proxy/src/driver/handover.rs
@@ -2,49 +2,52 @@
 
 use std::sync::atomic::Ordering::Relaxed;
 
-use leadrelay_core::{BackendId, DiscoveryEvent, Event, Learnt, Millis, Scope};
+use leadrelay_core::{
+    DiscoveryEvent, EndpointId, Event, LearnedState, ListScope, MachineClassState, MaintenanceReturn, Millis,
+    WeightedMean,
+};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use tracing::{info, warn};
 
 use super::Driver;
-use crate::handover::{SharedState, Speeds};
+use crate::handover::{MeanRecord, SharedState, Speeds};
 
 impl Driver {
     /// Begins with what a predecessor has left.
     pub fn resume(&mut self, shared: SharedState) {
         self.follow(&shared);
-        self.handle(Event::Discovery(DiscoveryEvent::Succeeded));
+        self.handle(Event::Discovery(DiscoveryEvent::TakeoverStarted));
         let SharedState { hosts, speeds, .. } = shared;
         if !hosts.is_empty() {
-            self.apply_list(Scope::Cached, hosts);
+            self.apply_list(ListScope::Cached, hosts);
         }
-        let own = |id: &u64| BackendId(*id);
+        let own = |id: &u64| EndpointId(*id);
         let back = self.back_from_maintenance(&speeds);
         let classes = self.parts.classes.borrow();
-        let class = |(name, _)| speeds.classes.get(name).copied().unwrap_or_default();
-        let kind = |name: &str| speeds.kinds.get(name).copied().unwrap_or_default();
-        let kinds = std::iter::once("").chain(self.names.kinds.iter().map(String::as_str));
-        self.balancer.resume(Learnt {
-            servers: speeds.servers.iter().map(|(id, slow)| (own(id), *slow)).collect(),
+        let class = |(name, _)| mean(speeds.classes.get(name).copied().unwrap_or_default());
+        let kind = |name: &str| machine_class(speeds.kinds.get(name).copied().unwrap_or_default());
+        let kinds = std::iter::once("").chain(self.names.machine_classes.iter().map(String::as_str));
+        self.balancer.resume(LearnedState {
+            endpoints: speeds.servers.iter().map(|(id, slow)| (own(id), mean(*slow))).collect(),
             classes: classes.offered().map(class).collect(),
-            kinds: kinds.map(kind).collect(),
-            back,
+            machine_classes: kinds.map(kind).collect(),
+            maintenance_returns: back,
         });
     }
 
     /// Servers that a predecessor took back from maintenance. What has passed since it wrote that is not known for sure:
     /// taken for none, they count as a little colder than they are.
-    fn back_from_maintenance(&self, speeds: &Speeds) -> Vec<(BackendId, Millis, Millis)> {
+    fn back_from_maintenance(&self, speeds: &Speeds) -> Vec<MaintenanceReturn> {
         let (now, offset) = (self.clock.at(Instant::now()), self.clock.offset());
         if speeds.back_ages.is_empty() {
             return speeds
                 .back
                 .iter()
-                .map(|(id, away, back)| (BackendId(*id), away - offset, back - offset))
+                .map(|(id, away, back)| returned(*id, away - offset, back - offset))
                 .collect();
         }
-        speeds.back_ages.iter().map(|(id, away, back)| (BackendId(*id), now - away, now - back)).collect()
+        speeds.back_ages.iter().map(|(id, away, back)| returned(*id, now - away, now - back)).collect()
     }
 
     /// Looks whether the other process of this proxy still runs, and keeps what it needs written down.
@@ -67,7 +70,7 @@
         if self.twin != handover.twin() {
             self.twin = handover.twin();
             info!(twin = self.twin, "another process of this proxy has come or gone");
-            self.handle(Event::Twin(self.twin));
+            self.handle(Event::OverlappingProcess(self.twin));
         }
     }
 
@@ -102,11 +105,11 @@
     /// What the other process was ordered holds here too.
     fn follow(&mut self, shared: &SharedState) {
         self.drain(shared.drained);
-        shared.listed.iter().for_each(|id| self.backends.note_listed(BackendId(*id)));
+        shared.listed.iter().for_each(|id| self.backends.note_listed(EndpointId(*id)));
         let held = self.balancer.maintained();
         let lifted = held.iter().filter(|id| !shared.bans.contains(&id.0));
         lifted.for_each(|id| self.ban(*id, false));
-        let new = shared.bans.iter().map(|id| BackendId(*id)).filter(|id| !held.contains(id));
+        let new = shared.bans.iter().map(|id| EndpointId(*id)).filter(|id| !held.contains(id));
         new.for_each(|id| self.ban(id, true));
     }
 
@@ -114,22 +117,49 @@
     fn speeds(&self) -> Speeds {
         let learnt = self.balancer.learnt();
         let classes = self.parts.classes.borrow();
-        let class = |(name, id): (&str, usize)| Some((name.to_owned(), *learnt.classes.get(id)?));
+        let class = |(name, id): (&str, usize)| Some((name.to_owned(), record(*learnt.classes.get(id)?)));
         let (now, offset) = (self.clock.at(Instant::now()), self.clock.offset());
-        let back_ages = learnt.back.iter().map(|(id, away, back)| (id.0, now - away, now - back)).collect();
-        let kinds = std::iter::once("").chain(self.names.kinds.iter().map(String::as_str));
-        let kinds = kinds.map(str::to_owned).zip(learnt.kinds);
+        let back_ages = learnt
+            .maintenance_returns
+            .iter()
+            .map(|r| (r.endpoint.0, now - r.out_at, now - r.back_at))
+            .collect();
+        let kinds = std::iter::once("").chain(self.names.machine_classes.iter().map(String::as_str));
+        let kinds = kinds.map(str::to_owned).zip(learnt.machine_classes);
         Speeds {
-            servers: learnt.servers.into_iter().map(|(id, slow)| (id.0, slow)).collect(),
+            servers: learnt.endpoints.into_iter().map(|(id, slow)| (id.0, record(slow))).collect(),
             classes: classes.offered().filter_map(class).collect(),
             // What has not been measured is infinite, which the file's form can't say.
-            kinds: kinds.filter(|(_, (_, calm, _))| calm.is_finite()).collect(),
+            kinds: kinds
+                .filter(|(_, class)| class.baseline.is_finite())
+                .map(|(name, class)| {
+                    (name, (record(class.relative_latency), class.baseline, class.concurrency_factor))
+                })
+                .collect(),
             back: learnt
-                .back
+                .maintenance_returns
                 .into_iter()
-                .map(|(id, away, back)| (id.0, away + offset, back + offset))
+                .map(|r| (r.endpoint.0, r.out_at + offset, r.back_at + offset))
                 .collect(),
             back_ages,
         }
     }
 }
+
+fn mean((value, weight): MeanRecord) -> WeightedMean {
+    WeightedMean { value, weight }
+}
+
+fn record(mean: WeightedMean) -> MeanRecord {
+    (mean.value, mean.weight)
+}
+
+fn machine_class(
+    (relative_latency, baseline, concurrency_factor): (MeanRecord, f64, f64),
+) -> MachineClassState {
+    MachineClassState { relative_latency: mean(relative_latency), baseline, concurrency_factor }
+}
+
+fn returned(id: u64, out_at: Millis, back_at: Millis) -> MaintenanceReturn {
+    MaintenanceReturn { endpoint: EndpointId(id), out_at, back_at }
+}
--- a/crates/proxy/src/driver/live.rs
+++ b/crates/proxy/src/driver/live.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leadrelay_core::{BackendId, Event, Invariant, Millis, Outcome, RefusalReason, RequestId, Upload};
+use leadrelay_core::{
+    EndpointId, Event, Invariant, Millis, Outcome, RejectionReason, RequestId, UploadStage,
+};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 use tracing::{debug, error};
@@ -102,7 +104,7 @@
         );
         self.tally.requests += 1;
         self.add_timer(last, Timer::LastResort(id));
-        self.handle(Event::Request { id, class, tenant, key, budget, hint });
+        self.handle(Event::Request { id, class, tenant, key, timeout: budget, expected_cost: hint });
     }
 
     /// An attempt takes a streamed body. From here on it is read, and its client's time stands still up to its last
@@ -113,7 +115,7 @@
         live.upload = Some(patience);
         live.deadline = deadline;
         self.add_timer(deadline - LAST_RESORT, Timer::LastResort(id));
-        self.handle(Event::Upload { request: id, stage: Upload::Begun });
+        self.handle(Event::Upload { request: id, stage: UploadStage::Started });
     }
 
     /// The last byte of a streamed body has been taken: the time of its request begins now.
@@ -125,7 +127,7 @@
         live.sent.set(now);
         live.deadline = deadline;
         self.add_timer(deadline - LAST_RESORT, Timer::LastResort(id));
-        self.handle(Event::Upload { request: id, stage: Upload::Whole });
+        self.handle(Event::Upload { request: id, stage: UploadStage::Complete });
     }
 
     /// When a request has to be answered whose client waits so long.
@@ -146,7 +148,7 @@
         if let Some(answer) = self.close(id, RequestState::Abandoned) {
             let last = if sent { Answer::Failed } else { Answer::Refused { after: None, tried: false } };
             let _ = answer.send(last); // a client that has left needs none
-            self.handle(Event::Abandoned(id));
+            self.handle(Event::ClientClosed(id));
         }
     }
 
@@ -159,7 +161,7 @@
 
     /// Starts an attempt, unless its request is closed or its backend takes nothing more.
     pub(super) fn send(
-        &mut self, request: RequestId, backend: BackendId, timeout: Option<Millis>, begin_by: Option<Millis>,
+        &mut self, request: RequestId, backend: EndpointId, timeout: Option<Millis>, begin_by: Option<Millis>,
     ) {
         let Some(live) = self.live.get_mut(&request) else {
             error!(request = request.0, "a send for a request that is not held");
@@ -194,7 +196,7 @@
         self.tally.sends += 1;
         let endpoint = self.backends.endpoint(backend).filter(|endpoint| endpoint.is_open());
         let Some(endpoint) = endpoint.filter(|_| live.state.get() == RequestState::Pending) else {
-            return report.send(Outcome::Moot, None);
+            return report.send(Outcome::Withdrawn, None);
         };
         let deadline = timeout.map_or(live.deadline, |timeout| live.deadline.min(now + duration(timeout)));
         let limits = AttemptLimits { deadline, begin_by: begin_by.map(|at| self.clock.instant(at)) };
@@ -235,20 +237,20 @@
         let closed = !was_open || outcome == Outcome::Served;
         self.forget(request);
         if spent {
-            self.handle(Event::Upload { request, stage: Upload::Spent });
+            self.handle(Event::Upload { request, stage: UploadStage::NotReplayable });
         }
-        self.handle(Event::Ended { request, attempt, latency, outcome, closed });
+        self.handle(Event::Ended { request, attempt, latency, outcome, finished: closed });
     }
 
     /// The client has left.
     pub(super) fn abandon(&mut self, id: RequestId) {
         if self.close(id, RequestState::Abandoned).is_some() {
-            self.handle(Event::Abandoned(id));
+            self.handle(Event::ClientClosed(id));
         }
     }
 
     /// Answers with the error that a backend sent, if there is one, or else that trying again is harmless.
-    pub(super) fn refuse(&mut self, id: RequestId, retry_after: Option<Millis>, reason: RefusalReason) {
+    pub(super) fn refuse(&mut self, id: RequestId, retry_after: Option<Millis>, reason: RejectionReason) {
         self.parts.metrics.refused(reason);
         let tried = self.live.get(&id).is_some_and(|live| live.attempts > 0);
         let error = self.backend_error(id);
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use leadrelay_core::settings::Names;
+use leadrelay_core::names::Names;
 use leadrelay_core::{Action, Balancer, Event, RequestId};
 use rustc_hash::FxHashMap;
 use tokio::sync::mpsc;
@@ -162,13 +162,13 @@
             Input::Retune(to) => {
                 let (retuning, connections) = *to;
                 self.parts.upstreams.retune(&connections);
-                self.handle(Event::Retune(Box::new(retuning)));
+                self.handle(Event::Reconfigure(Box::new(retuning)));
             }
             Input::Ending(end) => {
                 self.shutdown_deadline = Some(end);
                 self.add_timer(end, Timer::ShutdownDeadline);
             }
-            Input::Leaving => self.handle(Event::Leaving(true)),
+            Input::Leaving => self.handle(Event::Draining(true)),
             Input::UploadBegun(id, patience) => self.body_begun(id, patience),
             Input::Uploaded(id) => self.body_complete(id),
             Input::Ended { request, attempt, latency, outcome, reply } => {
@@ -177,7 +177,7 @@
             Input::List(scope, hosts) => self.apply_list(scope, hosts),
             Input::Datagram { from, bytes } => {
                 self.tally.messages_received += 1;
-                self.handle(Event::Message { from, bytes });
+                self.handle(Event::Gossip { from, bytes });
             }
         }
     }
@@ -216,10 +216,10 @@
 
     fn perform(&mut self, action: Action) {
         match action {
-            Action::Send { request, backend, timeout, begin_by } => {
-                self.send(request, backend, timeout, begin_by);
+            Action::Send { request, endpoint, timeout, start_by } => {
+                self.send(request, endpoint, timeout, start_by);
             }
-            Action::Refuse { request, retry_after, reason } => self.refuse(request, retry_after, reason),
+            Action::Reject { request, retry_after, reason } => self.refuse(request, retry_after, reason),
             Action::Fail(request) => self.fail(request),
             Action::Timer { token, at } => self.add_timer(self.clock.instant(at), Timer::Balancer(token)),
             Action::Broadcast(bytes) => {
--- a/crates/proxy/src/driver/operators.rs
+++ b/crates/proxy/src/driver/operators.rs
@@ -1,7 +1,7 @@
 //! Operators' commands: drain the proxy, take a backend out of use, put it back.
 
-use leadrelay_core::settings::number_of;
-use leadrelay_core::{BackendId, Event};
+use leadrelay_core::names::hash_name;
+use leadrelay_core::{EndpointId, Event};
 use tokio::sync::oneshot;
 
 use super::Driver;
@@ -23,13 +23,13 @@
     /// Takes the proxy out of service or puts it back.
     pub(super) fn drain(&mut self, drained: bool) {
         if self.parts.drained.replace(drained) != drained {
-            self.handle(Event::Leaving(drained));
+            self.handle(Event::Draining(drained));
         }
     }
 
     /// Takes a backend out of use or puts it back; no if it has never been listed.
     fn maintain(&mut self, host: &str, banned: bool, done: oneshot::Sender<bool>) {
-        let id = BackendId(number_of(host));
+        let id = EndpointId(hash_name(host));
         if !self.backends.was_listed(id) {
             let _ = done.send(false); // a caller that has left needs no answer
             return;
@@ -42,10 +42,10 @@
     }
 
     /// Takes a backend out of use or puts it back, here alone.
-    pub(super) fn ban(&mut self, id: BackendId, banned: bool) {
+    pub(super) fn ban(&mut self, id: EndpointId, banned: bool) {
         if let Some(endpoint) = self.backends.endpoint(id) {
             endpoint.set_banned(banned);
         }
-        self.handle(Event::Maintenance { backend: id, banned });
+        self.handle(Event::Maintenance { endpoint: id, enabled: banned });
     }
 }
--- a/crates/proxy/src/driver/report.rs
+++ b/crates/proxy/src/driver/report.rs
@@ -3,7 +3,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use leadrelay_core::{BackendId, Outcome, RequestId};
+use leadrelay_core::{EndpointId, Outcome, RequestId};
 use tokio::time::Instant;
 use tracing::info;
 
@@ -15,7 +15,7 @@
     pub inbox: Inbox,
     pub request: RequestId,
     pub attempt: u32,
-    pub backend: BackendId,
+    pub backend: EndpointId,
     /// The request, for its id.
     pub message: Rc<Outgoing>,
     /// When the request had gone out whole, as far as is known.
--- a/crates/proxy/src/handover.rs
+++ b/crates/proxy/src/handover.rs
@@ -12,7 +12,6 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use leadrelay_core::Mean;
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -62,12 +61,15 @@
     pub speeds: Speeds,
 }
 
+/// A mean and its weight, as the file holds them.
+pub type MeanRecord = (f64, f64);
+
 /// What has been learnt, classes and kinds by their names.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Speeds {
-    pub servers: Vec<(u64, Mean)>,
-    pub classes: BTreeMap<String, Mean>,
-    pub kinds: BTreeMap<String, (Mean, f64, f64)>,
+    pub servers: Vec<(u64, MeanRecord)>,
+    pub classes: BTreeMap<String, MeanRecord>,
+    pub kinds: BTreeMap<String, (MeanRecord, f64, f64)>,
     /// Servers back from maintenance: since when they were in it, and when they came back, in Unix time. For processes
     /// that don't know `back_ages`.
     pub back: Vec<(u64, f64, f64)>,
--- a/crates/proxy/src/head.rs
+++ b/crates/proxy/src/head.rs
@@ -5,8 +5,8 @@
 
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
-use leadrelay_core::settings::number_of;
-use leadrelay_core::{Effect, Key, TenantId};
+use leadrelay_core::names::hash_name;
+use leadrelay_core::{AffinityKey, Idempotency, TenantId};
 
 use crate::classes::{ClassHandle, Classes};
 use crate::config::{Dialect, Plain};
@@ -16,7 +16,7 @@
     pub id: String,
     pub class: ClassHandle,
     pub tenant: Option<TenantId>,
-    pub key: Option<Key>,
+    pub key: Option<AffinityKey>,
     pub hint: Option<f64>,
     /// How long the client waits.
     pub patience: Duration,
@@ -56,11 +56,11 @@
 ) -> Result<RequestMeta, Rejection> {
     let name = uri.path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let class = classes.find(name).ok_or(Rejection::new(StatusCode::NOT_FOUND, "no such class"))?;
-    let wanted = if class.rules.effect == Effect::Safe { Method::GET } else { Method::POST };
+    let wanted = if class.rules.idempotency == Idempotency::Always { Method::GET } else { Method::POST };
     if *method != wanted {
         return Err(Rejection::new(StatusCode::METHOD_NOT_ALLOWED, "not the method of this class"));
     }
-    let keyed = matches!(class.rules.effect, Effect::Keyed { .. });
+    let keyed = matches!(class.rules.idempotency, Idempotency::WithKey { .. });
     if keyed != one(headers, "idempotency-key")?.is_some() && *method == Method::POST {
         return Err(bad("Idempotency-Key does not fit the class"));
     }
@@ -89,7 +89,7 @@
     }
     let class = classes.route(plain, uri.path(), method);
     let class = class.ok_or(Rejection::new(StatusCode::NOT_FOUND, "no class takes this path and method"))?;
-    let keyed = matches!(class.rules.effect, Effect::Keyed { .. });
+    let keyed = matches!(class.rules.idempotency, Idempotency::WithKey { .. });
     if keyed && one(headers, "idempotency-key")?.is_none() {
         return Err(bad("Idempotency-Key is missing"));
     }
@@ -104,9 +104,9 @@
 }
 
 /// What a request concerns.
-fn key(uri: &Uri) -> Option<Key> {
+fn key(uri: &Uri) -> Option<AffinityKey> {
     let query = uri.query().unwrap_or_default();
-    query.split('&').find_map(|p| p.strip_prefix("sid=")).map(|sid| Key(number_of(sid)))
+    query.split('&').find_map(|p| p.strip_prefix("sid=")).map(|sid| AffinityKey(hash_name(sid)))
 }
 
 /// A header that may stand once.
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -3,8 +3,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leadrelay_core::settings::Connections;
-use leadrelay_core::{ClassId, Key, Millis, Outcome, RequestId, Retuning, Scope, TenantId};
+use leadrelay_core::settings::json::Connections;
+use leadrelay_core::{
+    AffinityKey, ClassId, ListScope, Millis, Outcome, Reconfiguration, RequestId, TenantId,
+};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
@@ -25,7 +27,7 @@
     /// The process ends: by then every request has its answer.
     Ending(Instant),
     /// Other settings.
-    Retune(Box<(Retuning, Connections)>),
+    Retune(Box<(Reconfiguration, Connections)>),
     /// An attempt has begun to take a body that is sent on while it comes; its client then had so much time left.
     UploadBegun(RequestId, Duration),
     /// The last byte of a body that is sent on while it comes has been taken.
@@ -33,7 +35,7 @@
     /// An attempt has ended.
     Ended { request: RequestId, attempt: u32, latency: Millis, outcome: Outcome, reply: Option<Reply> },
     /// A list that is fixed or remembered.
-    List(Scope, Vec<Host>),
+    List(ListScope, Vec<Host>),
     /// Another proxy's message.
     Datagram { from: u32, bytes: Vec<u8> },
 }
@@ -44,7 +46,7 @@
     pub class: ClassId,
     pub hold: Hold,
     pub tenant: Option<TenantId>,
-    pub key: Option<Key>,
+    pub key: Option<AffinityKey>,
     pub hint: Option<Millis>,
     /// When the client gives up.
     pub deadline: Instant,
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use leadrelay_core::{Gauges, Invariant, Outcome, RefusalReason, Standing};
+use leadrelay_core::{EndpointStatus, Gauges, Invariant, Outcome, RejectionReason};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -110,7 +110,7 @@
     /// Connections opened to backends.
     pub dials: Counter,
     pending: Gauge,
-    standings: [Gauge; Standing::ALL.len()],
+    standings: [Gauge; EndpointStatus::ALL.len()],
     list_valid: Gauge,
     choices: [Counter; 4],
     waiting: Gauge,
@@ -123,7 +123,7 @@
     socket_violations: [Counter; Invariant::COUNT],
     /// Sends that were denied at the last moment.
     denials: [Counter; Denial::ALL.len()],
-    refusals: [Counter; RefusalReason::COUNT],
+    refusals: [Counter; RejectionReason::COUNT],
     retries: [Counter; Outcome::COUNT],
     client_closes: [Counter; ClientClose::ALL.len()],
     backend_closes: [Counter; BackendClose::ALL.len()],
@@ -170,8 +170,8 @@
         registry.register("requests_pending", "Requests taken and not ended", pending.clone());
         let by_standing = Family::<ByStanding, Gauge>::default();
         registry.register("members", "Listed backends, by how they are treated now", by_standing.clone());
-        let standings =
-            Standing::ALL.map(|s| by_standing.get_or_create_owned(&ByStanding { standing: Word(s.name()) }));
+        let standings = EndpointStatus::ALL
+            .map(|s| by_standing.get_or_create_owned(&ByStanding { standing: Word(s.name()) }));
         let list_valid = Gauge::default();
         let help = "Whether requests may be sent by the server list that is held: 1, or 0 while it is stale";
         registry.register("list_valid", help, list_valid.clone());
@@ -207,7 +207,7 @@
         let denials = by_reason(&mut registry, "attempts_denied", help, Denial::ALL.map(Denial::name));
         let help = "Requests refused by a decision";
         let refusals =
-            by_reason(&mut registry, "refusals", help, RefusalReason::ALL.map(RefusalReason::name));
+            by_reason(&mut registry, "refusals", help, RejectionReason::ALL.map(RejectionReason::name));
         let help = "Further attempts, by how the one before ended";
         let retries = by_reason(&mut registry, "retries", help, Outcome::ALL.map(Outcome::name));
         let help = "Closed connections of clients";
@@ -365,7 +365,7 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, reason: RefusalReason) {
+    pub fn refused(&self, reason: RejectionReason) {
         self.refusals[reason as usize].inc();
     }
 
@@ -426,7 +426,7 @@
         };
         let members = |avoided: bool| -> i64 {
             let counted =
-                Standing::ALL.iter().zip(&self.standings).filter(|(s, _)| !avoided || s.is_avoided());
+                EndpointStatus::ALL.iter().zip(&self.standings).filter(|(s, _)| !avoided || s.is_avoided());
             counted.map(|(_, gauge)| gauge.get()).sum()
         };
         json!({
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::thread::JoinHandle;
 
-use leadrelay_core::{Balancer, Scope};
+use leadrelay_core::{Balancer, ListScope};
 use tokio::net::TcpListener;
 use tokio::runtime::Runtime;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -97,7 +97,7 @@
             }
             Source::Fixed(hosts) => {
                 info!(backends = hosts.len(), "the configuration names backends");
-                self.inbox.put(Input::List(Scope::Full, hosts.clone()));
+                self.inbox.put(Input::List(ListScope::Full, hosts.clone()));
             }
         }
         self.running = new;
@@ -223,7 +223,7 @@
         name = config.name,
         listen = %clients,
         admin = admin.map(tracing::field::display),
-        proxy = config.settings.me,
+        proxy = config.settings.proxy_index,
         proxies = config.settings.proxies,
         classes = config.settings.classes.len(),
         tenants = config.settings.tenants.len(),
@@ -232,12 +232,12 @@
     let balancer = Balancer::new(config.settings, config.seed);
     let mut driver = Driver::new(balancer, config.names, parts);
     match config.source {
-        Source::Fixed(hosts) => inbox.put(Input::List(Scope::Full, hosts)),
+        Source::Fixed(hosts) => inbox.put(Input::List(ListScope::Full, hosts)),
         Source::Discovery(_)
             if predecessor.as_ref().is_none_or(|predecessor| predecessor.hosts.is_empty()) =>
         {
             let known = discovery::remembered(&config.known).unwrap_or_default();
-            inbox.put(Input::List(Scope::Cached, known));
+            inbox.put(Input::List(ListScope::Cached, known));
         }
         Source::Discovery(_) => {}
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -13,7 +13,7 @@
 use tracing::{info, warn};
 
 use super::connection::Connection;
-use super::endpoint::{Endpoint, IdleConnection};
+use super::endpoint::{IdleConnection, Upstream};
 use super::exchange::{Answer, AnswerBody, Exchange, ExchangeError, exchange};
 use super::guard::{RequestState, SendGuard};
 use super::keep_alive::MIN_KEEP_ALIVE;
@@ -38,7 +38,7 @@
 
 /// What an attempt is to do.
 struct Attempt {
-    endpoint: Rc<Endpoint>,
+    endpoint: Rc<Upstream>,
     state: Rc<Cell<RequestState>>,
     outgoing: Rc<Outgoing>,
     limits: AttemptLimits,
@@ -72,7 +72,7 @@
 impl Upstreams {
     /// Makes one attempt. `report` is told how it ended, exactly once and before the connection is pooled.
     pub async fn attempt(
-        &self, endpoint: Rc<Endpoint>, state: Rc<Cell<RequestState>>, outgoing: Rc<Outgoing>,
+        &self, endpoint: Rc<Upstream>, state: Rc<Cell<RequestState>>, outgoing: Rc<Outgoing>,
         limits: AttemptLimits, report: impl FnOnce(Outcome, Option<Reply>),
     ) {
         let list_valid_until = self.list_valid_until.clone();
@@ -179,9 +179,9 @@
 
     /// Pools a connection after an exchange if it is of more use, or closes it.
     async fn release(
-        &self, mut connection: Connection, endpoint: &Endpoint, outcome: Outcome, reusable: bool,
+        &self, mut connection: Connection, endpoint: &Upstream, outcome: Outcome, reusable: bool,
     ) {
-        self.keep.record(connection.first, outcome == Outcome::Full);
+        self.keep.record(connection.first, outcome == Outcome::Rejected);
         connection.first = false;
         connection.progress.guard.replace(None);
         let ready = reusable && matches!(timeout(READY_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())));
@@ -239,7 +239,7 @@
     fn outcome(self) -> Outcome {
         match self {
             NotSent::NoConnection => Outcome::ConnectFailed,
-            NotSent::Moot => Outcome::Moot,
+            NotSent::Moot => Outcome::Withdrawn,
         }
     }
 }
@@ -249,7 +249,7 @@
     fn outcome(&self, progress: &RequestProgress, backend: SocketAddr, request: &str) -> Outcome {
         let given_up = progress.denied.get() || progress.body_failed.get();
         match self {
-            SendError::Exchange(_) if given_up => Outcome::Moot,
+            SendError::Exchange(_) if given_up => Outcome::Withdrawn,
             _ if !progress.complete() => Outcome::ConnectFailed,
             SendError::Exchange(error) => {
                 info!(request, %backend, error = error.to_string(), "an answer broke");
--- a/crates/proxy/src/upstream/endpoint.rs
+++ b/crates/proxy/src/upstream/endpoint.rs
@@ -15,7 +15,7 @@
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 
 /// One process of a backend at one address. A restart or a new address makes a new endpoint.
-pub struct Endpoint {
+pub struct Upstream {
     pub address: SocketAddr,
     pub born_ms: f64,
     /// Draining, gone or replaced: nothing new is sent to it.
@@ -32,10 +32,10 @@
     pub(super) since: Instant,
 }
 
-impl Endpoint {
+impl Upstream {
     /// An open endpoint without connections.
     pub fn new(address: SocketAddr, born_ms: f64) -> Rc<Self> {
-        Rc::new(Endpoint {
+        Rc::new(Upstream {
             address,
             born_ms,
             closed: Cell::new(false),
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -85,7 +85,7 @@
         return Ok(Exchange { outcome: Outcome::Served, answer: Some(answer), reusable: true });
     }
     if is_rejection(head.status, &head.headers) {
-        return Ok(Exchange { outcome: Outcome::Full, answer: None, reusable });
+        return Ok(Exchange { outcome: Outcome::Rejected, answer: None, reusable });
     }
     let answer =
         (any_status_serves && reusable).then(|| Answer::new(begun, head.status, head.headers, body, is_head));
--- a/crates/proxy/src/upstream/guard.rs
+++ b/crates/proxy/src/upstream/guard.rs
@@ -7,7 +7,7 @@
 use leadrelay_core::Invariant;
 use tokio::time::Instant;
 
-use super::endpoint::Endpoint;
+use super::endpoint::Upstream;
 use super::message::Outgoing;
 
 /// What has become of a request while its attempts are in flight.
@@ -77,7 +77,7 @@
 pub(super) struct SendGuard {
     /// Until when the list of backends may be used.
     pub(super) list_valid_until: Rc<Cell<Instant>>,
-    pub(super) endpoint: Rc<Endpoint>,
+    pub(super) endpoint: Rc<Upstream>,
     pub(super) state: Rc<Cell<RequestState>>,
     pub(super) outgoing: Rc<Outgoing>,
     /// When it may begin no more, if it repeats an attempt that may have run.
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -22,7 +22,7 @@
 mod request_progress;
 
 pub use attempt::AttemptLimits;
-pub use endpoint::Endpoint;
+pub use endpoint::Upstream;
 pub use guard::{Denial, RequestState};
 pub use headers::remove_hop_by_hop;
 pub use message::{MessageBody, Outgoing, Reply, RequestBody, Upload};
