--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use leadrelay_core::settings::Connections;
+use leadrelay_core::settings::json::Connections;
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, timeout};
 
 use super::connection::Connection;
-use super::endpoint::Endpoint;
+use super::endpoint::Upstream;
 use super::keep_alive::KeepAlive;
 use crate::body_stream::Memory;
 use crate::close_reason::BackendClose;
@@ -35,7 +35,7 @@
     /// Attempts that wait for a socket.
     pub(super) waiting: Cell<usize>,
     /// The endpoints whose idle connections are looked after.
-    endpoints: RefCell<Vec<Rc<Endpoint>>>,
+    endpoints: RefCell<Vec<Rc<Upstream>>>,
     /// Until when a request may begin by the list of backends that is held.
     pub(super) list_valid_until: Rc<Cell<Instant>>,
 }
@@ -77,7 +77,7 @@
     }
 
     /// Adds an endpoint to those whose idle connections are looked after.
-    pub fn add(&self, endpoint: &Rc<Endpoint>) {
+    pub fn add(&self, endpoint: &Rc<Upstream>) {
         self.endpoints.borrow_mut().push(endpoint.clone());
     }
 
@@ -109,7 +109,7 @@
     /// Closes the connection that has been idle longest, of all endpoints.
     pub fn close_idle(&self) {
         let endpoints = self.endpoints.borrow();
-        let idle_since = |endpoint: &Endpoint| endpoint.idle.borrow().first().map(|idle| idle.since);
+        let idle_since = |endpoint: &Upstream| endpoint.idle.borrow().first().map(|idle| idle.since);
         let oldest = endpoints
             .iter()
             .filter_map(|endpoint| Some((idle_since(endpoint)?, endpoint)))
@@ -121,7 +121,7 @@
     }
 
     /// Takes an idle connection, or dials where there is none.
-    pub(super) async fn connect(&self, endpoint: &Endpoint) -> io::Result<Connection> {
+    pub(super) async fn connect(&self, endpoint: &Upstream) -> io::Result<Connection> {
         while let Some(idle) = endpoint.take_idle() {
             let reason = match idle.since.elapsed() < self.keep.span() {
                 true if idle.connection.is_alive() => return Ok(idle.connection),
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -9,7 +9,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
 use leadrelay_core::Outcome;
-use leadrelay_core::settings::Connections;
+use leadrelay_core::settings::json::Connections;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
@@ -45,14 +45,14 @@
 fn attempted(
     upstreams: &Rc<Upstreams>, listener: &TcpListener, body: Bytes, state: &Rc<Cell<RequestState>>,
 ) -> JoinHandle<Option<Outcome>> {
-    let endpoint = Endpoint::new(listener.local_addr().expect("its own"), 0.0);
+    let endpoint = Upstream::new(listener.local_addr().expect("its own"), 0.0);
     upstreams.add(&endpoint);
     attempted_at(upstreams, &endpoint, body, state)
 }
 
 /// Makes an attempt at a backend that may have idle connections.
 fn attempted_at(
-    upstreams: &Rc<Upstreams>, endpoint: &Rc<Endpoint>, body: Bytes, state: &Rc<Cell<RequestState>>,
+    upstreams: &Rc<Upstreams>, endpoint: &Rc<Upstream>, body: Bytes, state: &Rc<Cell<RequestState>>,
 ) -> JoinHandle<Option<Outcome>> {
     let (upstreams, endpoint, state) = (upstreams.clone(), endpoint.clone(), state.clone());
     let message = outgoing(body, false);
@@ -105,7 +105,7 @@
         while upstreams.keep.span() > MIN_KEEP_ALIVE {
             let attempt = attempted(&upstreams, &full, Bytes::new(), &state);
             next(&full).await.write_all(AWAY).await.expect("it reads");
-            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Full));
+            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Rejected));
             tries += 1;
             assert!(tries < 100, "{:?}", upstreams.keep.span());
         }
@@ -164,7 +164,7 @@
                 backend.write_all(SERVED).await.is_ok()
             };
             assert_eq!(answered.await, whole, "{to:?}: {read} bytes");
-            let outcome = if whole { Outcome::Served } else { Outcome::Moot };
+            let outcome = if whole { Outcome::Served } else { Outcome::Withdrawn };
             assert_eq!(attempt.await.expect("no panic"), Some(outcome));
         });
     }
@@ -173,8 +173,8 @@
 /// A backend with one idle connection, and its end of that.
 async fn idle_at(
     upstreams: &Rc<Upstreams>, listener: &TcpListener, state: &Rc<Cell<RequestState>>,
-) -> (Rc<Endpoint>, tokio::net::TcpStream) {
-    let endpoint = Endpoint::new(listener.local_addr().expect("its own"), 0.0);
+) -> (Rc<Upstream>, tokio::net::TcpStream) {
+    let endpoint = Upstream::new(listener.local_addr().expect("its own"), 0.0);
     upstreams.add(&endpoint);
     let attempt = attempted_at(upstreams, &endpoint, Bytes::new(), state);
     let mut idle = next(listener).await;
@@ -218,7 +218,7 @@
             let idle = done.await.expect("no panic");
             let mut new = next(&listener).await;
             new.write_all(AWAY).await.expect("it reads");
-            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Full), "the new one's answer");
+            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Rejected), "the new one's answer");
             if let Some(mut idle) = idle {
                 assert!(!matches!(idle.read(&mut [0; 1]).await, Ok(1)), "nothing is written to the old one");
             }
@@ -231,7 +231,7 @@
     played(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let (upstreams, state) = (upstreams(8), Rc::new(Cell::new(RequestState::Pending)));
-        let endpoint = Endpoint::new(listener.local_addr().expect("its own"), 0.0);
+        let endpoint = Upstream::new(listener.local_addr().expect("its own"), 0.0);
         let attempt = attempted_at(&upstreams, &endpoint, Bytes::new(), &state);
         tokio::task::yield_now().await; // the attempt dials, and is told only after this that it is through
         drop(listener.accept().expect("the attempt's"));
@@ -255,7 +255,7 @@
         states[1].set(RequestState::Abandoned);
         held.write_all(SERVED).await.expect("it reads");
         assert_eq!(first.await.expect("no panic"), Some(Outcome::Served));
-        assert_eq!(second.await.expect("no panic"), Some(Outcome::Moot));
+        assert_eq!(second.await.expect("no panic"), Some(Outcome::Withdrawn));
         let (mut unused, _) = two.accept().await.expect("it came up all the same");
         assert_eq!(unused.read(&mut [0; 1]).await.expect("an end"), 0);
     });
--- a/crates/proxy/src/upstream/tests/units.rs
+++ b/crates/proxy/src/upstream/tests/units.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use super::{outgoing, valid};
-use crate::upstream::endpoint::{Endpoint, choose_idle};
+use crate::upstream::endpoint::{Upstream, choose_idle};
 use crate::upstream::guard::{RequestState, SendGuard};
 use crate::upstream::headers::remove_hop_by_hop;
 use crate::upstream::keep_alive::KeepAlive;
@@ -18,7 +18,7 @@
 use crate::upstream::request_progress::RequestProgress;
 
 /// A guard of a request that is sent at once.
-fn guard(endpoint: &Rc<Endpoint>, state: &Rc<Cell<RequestState>>, outgoing: Rc<Outgoing>) -> SendGuard {
+fn guard(endpoint: &Rc<Upstream>, state: &Rc<Cell<RequestState>>, outgoing: Rc<Outgoing>) -> SendGuard {
     SendGuard {
         list_valid_until: valid(),
         endpoint: endpoint.clone(),
@@ -30,8 +30,8 @@
     }
 }
 
-fn started(body: usize) -> (RequestProgress, Rc<Endpoint>, Rc<Cell<RequestState>>) {
-    let endpoint = Endpoint::new("127.0.0.1:1".parse().expect("an address"), 0.0);
+fn started(body: usize) -> (RequestProgress, Rc<Upstream>, Rc<Cell<RequestState>>) {
+    let endpoint = Upstream::new("127.0.0.1:1".parse().expect("an address"), 0.0);
     let state = Rc::new(Cell::new(RequestState::Pending));
     let meter = RequestProgress::default();
     let outgoing = outgoing(Bytes::new(), false);
--- a/crates/wire/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -88,7 +88,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("leadrelay-wire: {text}");
+            eprintln!("leadrelay-sim-adapter: {text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/wire/src/wire.rs
+++ b/crates/sim-adapter/src/wire.rs
@@ -6,12 +6,13 @@
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use leadrelay_core::{
-    Action, Backend, BackendId, Balancer, CellId, ClassId, Event, Key, KindId, Outcome, RequestId, Scope,
-    State, TenantId, ZoneId,
+    Action, AffinityKey, Balancer, CellId, ClassId, Endpoint, EndpointId, EndpointState, Event, ListScope,
+    MachineClassId, Outcome, RequestId, TenantId, ZoneId,
 };
 use rustc_hash::FxHashMap;
 
-use leadrelay_core::settings::{self, Names, index_of, number_of};
+use leadrelay_core::names::{Names, hash_name, intern};
+use leadrelay_core::settings::json;
 
 /// Whether this version reads messages of that name.
 pub fn known(name: &str) -> bool {
@@ -107,12 +108,12 @@
 fn outcome(reason: &str) -> Outcome {
     match reason {
         "completed" => Outcome::Served,
-        "saturated" => Outcome::Full,
+        "saturated" => Outcome::Rejected,
         "overdue" => Outcome::TimedOut,
         "refused_conn" => Outcome::ConnectFailed,
         "severed" => Outcome::Reset,
         "recalled" => Outcome::Cancelled,
-        "superseded" => Outcome::Moot,
+        "superseded" => Outcome::Withdrawn,
         _ => Outcome::Error, // an error, or unknown: it may have run
     }
 }
@@ -122,7 +123,7 @@
     pub fn new(fields: &Fields) -> Result<Self, String> {
         let seed = fields.optional_whole("randomSeed")?.unwrap_or(0);
         let params = serde_json::from_str(fields.text("params")?).map_err(|e| format!("settings: {e}"))?;
-        let (settings, names) = settings::parse(&params);
+        let (settings, names) = json::parse(&params);
         Ok(Instance {
             balancer: Balancer::new(settings, seed),
             names,
@@ -134,26 +135,27 @@
         })
     }
 
-    fn backend(&mut self, (line, text): &(usize, String)) -> Result<Backend, String> {
+    fn backend(&mut self, (line, text): &(usize, String)) -> Result<Endpoint, String> {
         let at = |e: String| format!("line {line}: {e}");
         let fields = Fields::new(text).map_err(at)?;
         let name = fields.text("backend").map_err(at)?;
-        let id = number_of(name);
+        let id = hash_name(name);
         self.backends.entry(id).or_insert_with(|| name.to_owned());
-        let zone = fields.get("failureDomain").map(|z| ZoneId(index_of(&mut self.names.zones, z) as u32));
-        let kind = fields.get("shape").map(|k| KindId(index_of(&mut self.names.kinds, k) as u32));
-        Ok(Backend {
-            id: BackendId(id),
+        let zone = fields.get("failureDomain").map(|z| ZoneId(intern(&mut self.names.zones, z) as u32));
+        let kind =
+            fields.get("shape").map(|k| MachineClassId(intern(&mut self.names.machine_classes, k) as u32));
+        Ok(Endpoint {
+            id: EndpointId(id),
             zone,
-            kind,
+            machine_class: kind,
             cell: fields.optional_whole("cell").map_err(at)?.map(CellId),
             state: match fields.get("state") {
-                Some("up") | None => State::Up,
-                Some("removed") => State::Gone,
-                Some(_) => State::Draining, // draining, or unknown: nothing new goes there
+                Some("up") | None => EndpointState::Up,
+                Some("removed") => EndpointState::Removed,
+                Some(_) => EndpointState::Draining, // draining, or unknown: nothing new goes there
             },
-            rating: fields.optional_number("rating").map_err(at)?.unwrap_or(1.0),
-            since: fields.optional_number("since").map_err(at)?.filter(|s| *s > 0.0),
+            weight: fields.optional_number("rating").map_err(at)?.unwrap_or(1.0),
+            started_at: fields.optional_number("since").map_err(at)?.filter(|s| *s > 0.0),
         })
     }
 
@@ -168,10 +170,10 @@
         Ok(Some(match name {
             "TOPOLOGY" => Event::List {
                 scope: match fields.text("scope")? {
-                    "delta" => Scope::Delta,
-                    "full" => Scope::Full,
-                    "cached" => Scope::Cached,
-                    "failed" => Scope::Failed,
+                    "delta" => ListScope::Delta,
+                    "full" => ListScope::Full,
+                    "cached" => ListScope::Cached,
+                    "failed" => ListScope::Failed,
                     _ => return Ok(None),
                 },
                 entries: items.iter().map(|item| self.backend(item)).collect::<Result<_, _>>()?,
@@ -191,9 +193,9 @@
                     id: RequestId(self.last),
                     class: ClassId(class),
                     tenant: tenant.map(TenantId),
-                    key: fields.optional_whole("nameKey")?.map(Key),
-                    budget: fields.number("timeBudget")?,
-                    hint: fields.optional_number("predicted")?,
+                    key: fields.optional_whole("nameKey")?.map(AffinityKey),
+                    timeout: fields.number("timeBudget")?,
+                    expected_cost: fields.optional_number("predicted")?,
                 };
                 self.ids.insert(name.to_owned(), self.last);
                 self.requests.insert(self.last, Known { name: name.to_owned(), out: 0, done: false });
@@ -216,7 +218,7 @@
                     attempt: fields.whole("sendNo")? as u32,
                     latency: fields.optional_number("latency")?.unwrap_or(0.0),
                     outcome: outcome(fields.text("reason")?),
-                    closed,
+                    finished: closed,
                 }
             }
             "HANGUP" => {
@@ -224,7 +226,7 @@
                 if let Some(known) = self.requests.get_mut(&request.0) {
                     known.done = true;
                 }
-                Event::Abandoned(request)
+                Event::ClientClosed(request)
             }
             "DEADLINE_HIT" => Event::Timer(fields.whole("keyBack")?),
             "NOTE_FROM" => {
@@ -234,7 +236,7 @@
                 } else {
                     BASE64.decode(text).map_err(|e| format!("'msg': {e}"))?
                 };
-                Event::Message { from: fields.whole("who")? as u32, bytes }
+                Event::Gossip { from: fields.whole("who")? as u32, bytes }
             }
             _ => return Ok(None),
         }))
@@ -243,7 +245,7 @@
     /// Hands an event to the Balancer and writes its actions.
     pub fn handle(&mut self, now: f64, event: Event, i: u64, reply: &mut String) {
         let touched = match &event {
-            Event::Ended { request, .. } | Event::Abandoned(request) => Some(*request),
+            Event::Ended { request, .. } | Event::ClientClosed(request) => Some(*request),
             _ => None,
         };
         let mut actions = std::mem::take(&mut self.actions);
@@ -260,17 +262,17 @@
     fn write(&mut self, action: Action, i: u64, reply: &mut String) {
         // Writing to a String cannot fail.
         let _ = match action {
-            Action::Send { request, backend, timeout, .. } => {
+            Action::Send { request, endpoint, timeout, .. } => {
                 let Some(known) = self.requests.get_mut(&request.0) else { return };
                 known.out += 1;
-                let backend = self.backends.get(&backend.0).map_or("-", String::as_str);
+                let backend = self.backends.get(&endpoint.0).map_or("-", String::as_str);
                 let _ = write!(reply, "SUBMIT_TO\ti={i}\trid={}\tbackend={backend}", known.name);
                 match timeout {
                     Some(t) => writeln!(reply, "\tmaxWait={t:.3}"),
                     None => writeln!(reply),
                 }
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 let Some(known) = self.requests.get_mut(&request.0) else { return };
                 known.done = true;
                 let _ = write!(reply, "TURN_AWAY\ti={i}\trid={}", known.name);
--- a/crates/wire/tests/adapter.rs
+++ b/crates/sim-adapter/tests/adapter.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Stdio};
 
 fn wirehost(input: &str) -> (bool, String, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_leadrelay-wire"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_leadrelay-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/lab/src/commands/reconnect.rs
+++ b/crates/simulator/src/commands/reconnect.rs
@@ -1,7 +1,7 @@
-//! `leadrelay-lab reconnect`: storms of calls to discovery, for fleets of several sizes.
+//! `leadrelay-simulator reconnect`: storms of calls to discovery, for fleets of several sizes.
 
 use clap::Args;
-use leadrelay_lab::reconnect::{Outcome, Storm, play};
+use leadrelay_simulator::reconnect::{Outcome, Storm, play};
 use rayon::prelude::*;
 
 use crate::{positive, table};
--- a/crates/lab/src/decide.rs
+++ b/crates/simulator/src/decide.rs
@@ -1,6 +1,8 @@
 //! Who decides for a proxy: the core as in service, or a baseline to hold it against.
 
-use leadrelay_core::{Action, BackendId, Balancer, CallId, Event, RefusalReason, RequestId, Scope, State};
+use leadrelay_core::{
+    Action, Balancer, CallId, EndpointId, EndpointState, Event, ListScope, RejectionReason, RequestId,
+};
 use rustc_hash::FxHashMap;
 
 use crate::draw::Draw;
@@ -80,7 +82,7 @@
 const ATTEMPTS: u32 = 3;
 
 struct Known {
-    id: BackendId,
+    id: EndpointId,
     number: usize,
     out: u32,
     latency: f64,
@@ -93,7 +95,7 @@
     draw: Draw,
     backends: Vec<Known>,
     next: usize,
-    open: FxHashMap<RequestId, (u32, BackendId)>,
+    open: FxHashMap<RequestId, (u32, EndpointId)>,
     subscribed: bool,
 }
 
@@ -146,14 +148,14 @@
                 self.open.insert(id, (tries + 1, self.backends[k].id));
                 out.push(Action::Send {
                     request: id,
-                    backend: self.backends[k].id,
+                    endpoint: self.backends[k].id,
                     timeout: None,
-                    begin_by: None,
+                    start_by: None,
                 });
             }
             None => {
                 self.open.remove(&id);
-                out.push(Action::Refuse { request: id, retry_after: None, reason: RefusalReason::TooLate });
+                out.push(Action::Reject { request: id, retry_after: None, reason: RejectionReason::TooLate });
             }
         }
     }
@@ -163,17 +165,17 @@
     fn handle(&mut self, now: f64, event: Event, truth: (&Truth, &Truth), out: &mut Vec<Action>) {
         match event {
             Event::List { scope, entries } => {
-                if scope == Scope::Failed {
+                if scope == ListScope::Failed {
                     self.subscribed = false;
                     out.push(Action::Timer { token: 0, at: now + 500.0 + 1000.0 * self.draw.unit() });
                     return;
                 }
-                if scope == Scope::Full || scope == Scope::Cached {
+                if scope == ListScope::Full || scope == ListScope::Cached {
                     self.backends.retain(|k| entries.iter().any(|e| e.id == k.id));
                 }
                 for e in entries {
                     let at = self.backends.iter().position(|k| k.id == e.id);
-                    match (e.state == State::Up, at) {
+                    match (e.state == EndpointState::Up, at) {
                         (true, None) => {
                             let number = e.id.0 as usize;
                             self.backends.push(Known { id: e.id, number, out: 0, latency: 1.0, at: now });
@@ -188,7 +190,7 @@
                 }
             }
             Event::Request { id, .. } => self.send(now, id, truth, out),
-            Event::Ended { request, latency, outcome, closed, .. } => {
+            Event::Ended { request, latency, outcome, finished, .. } => {
                 let Some(&(tries, backend)) = self.open.get(&request) else { return };
                 if let Some(k) = self.backends.iter_mut().find(|k| k.id == backend) {
                     k.out = k.out.saturating_sub(1);
@@ -196,7 +198,7 @@
                     k.latency = if latency > old { latency } else { old + 0.1 * (latency - old) };
                     k.at = now;
                 }
-                if closed {
+                if finished {
                     self.open.remove(&request);
                 } else if outcome.may_have_run() {
                     self.open.remove(&request);
@@ -205,10 +207,10 @@
                     self.send(now, request, truth, out);
                 } else {
                     self.open.remove(&request);
-                    out.push(Action::Refuse { request, retry_after: None, reason: RefusalReason::TooLate });
+                    out.push(Action::Reject { request, retry_after: None, reason: RejectionReason::TooLate });
                 }
             }
-            Event::Abandoned(id) => drop(self.open.remove(&id)),
+            Event::ClientClosed(id) => drop(self.open.remove(&id)),
             Event::Timer(_) if !self.subscribed => {
                 self.subscribed = true;
                 out.push(SUBSCRIBE);
--- a/crates/lab/src/discovery.rs
+++ b/crates/simulator/src/discovery.rs
@@ -6,7 +6,7 @@
 //! each 2 s while nothing changes. Nothing is decided here: the model hands back [`Effect`]s, and its owner plans them
 //! on its own clock.
 
-use leadrelay_core::{Backend as Line, CallEnd, CallId, DiscoveryEvent, State};
+use leadrelay_core::{CallEnd, CallId, DiscoveryEvent, Endpoint as Line, EndpointState};
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
 
@@ -288,8 +288,8 @@
         }
         let at = self.list.iter().position(|l| l.id == line.id);
         match (line.state, at) {
-            (State::Gone, Some(at)) => drop(self.list.remove(at)),
-            (State::Gone, None) => return,
+            (EndpointState::Removed, Some(at)) => drop(self.list.remove(at)),
+            (EndpointState::Removed, None) => return,
             (_, Some(at)) => self.list[at] = line.clone(),
             (_, None) => self.list.push(line.clone()),
         }
@@ -398,7 +398,7 @@
         match resumed {
             Some(version) => self.write_changes(now, connection, version, out),
             None => {
-                let hidden = |l: &&Line| self.character.hides_draining && l.state == State::Draining;
+                let hidden = |l: &&Line| self.character.hides_draining && l.state == EndpointState::Draining;
                 let lines = self.list.iter().filter(|l| !hidden(l)).cloned().collect();
                 self.write(now, connection, true, lines, out);
             }
@@ -441,7 +441,7 @@
         (c.version, c.written_at) = (version, now);
         let (call, read_at, entries) = (c.call, now + WAY, lines.clone());
         out.push(Effect::Wrote { proxy: c.caller.proxy, former: c.former, whole, lines });
-        let event = DiscoveryEvent::Update { call, read_at, version, whole, entries };
+        let event = DiscoveryEvent::Update { call, read_at, version, complete: whole, entries };
         out.push(Effect::Read { at: read_at, connection, event });
     }
 
--- a/crates/lab/src/drains.rs
+++ b/crates/simulator/src/drains.rs
@@ -15,7 +15,7 @@
 
 use std::fmt;
 
-use leadrelay_core::{Backend as Line, State};
+use leadrelay_core::{Endpoint as Line, EndpointState};
 use rustc_hash::FxHashMap;
 
 /// Sends may go on for so long after a change counts as known, in ms: the settings' 2 s, and the slack of the rules.
@@ -130,8 +130,10 @@
     pub fn learned(&mut self, now: f64, line: &Line) {
         let backend = line.id.0 as usize;
         match line.state {
-            State::Up => drop(self.leaving.remove(&backend)),
-            State::Draining | State::Gone => drop(self.leaving.entry(backend).or_insert(now)),
+            EndpointState::Up => drop(self.leaving.remove(&backend)),
+            EndpointState::Draining | EndpointState::Removed => {
+                self.leaving.entry(backend).or_insert(now);
+            }
         }
     }
 
@@ -147,8 +149,10 @@
         for line in lines {
             let backend = line.id.0 as usize;
             match line.state {
-                State::Up => drop(told.written.remove(&backend)),
-                State::Draining | State::Gone => drop(told.written.entry(backend).or_insert(now)),
+                EndpointState::Up => drop(told.written.remove(&backend)),
+                EndpointState::Draining | EndpointState::Removed => {
+                    told.written.entry(backend).or_insert(now);
+                }
             }
         }
         if !former {
--- a/crates/lab/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,5 +1,5 @@
 //! An emulated fleet: days drawn from scenarios by a seed and played in simulated time, with the core's decisions exactly
-//! as in service. What the model assumes and leaves out stands in `docs/lab.md`.
+//! as in service. What the model assumes and leaves out stands in `docs/simulator.md`.
 
 pub mod backend;
 pub mod cold;
--- a/crates/lab/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -8,17 +8,17 @@
 use clap::{Args, Parser, Subcommand};
 use comfy_table::Table;
 use indicatif::{ProgressBar, ProgressStyle};
-use leadrelay_lab::cold::Worst;
-use leadrelay_lab::compare::{Difference, median};
-use leadrelay_lab::draw::Range;
-use leadrelay_lab::scenario::FaultKind;
-use leadrelay_lab::{Day, Pick, Result, Scenario, Version, play};
+use leadrelay_simulator::cold::Worst;
+use leadrelay_simulator::compare::{Difference, median};
+use leadrelay_simulator::draw::Range;
+use leadrelay_simulator::scenario::FaultKind;
+use leadrelay_simulator::{Day, Pick, Result, Scenario, Version, play};
 use rayon::prelude::*;
 
 /// Plays emulated fleets in simulated time and tells where the worth went.
 #[derive(Debug, Parser)]
 #[command(
-    name = "leadrelay-lab",
+    name = "leadrelay-simulator",
     version,
     arg_required_else_help = true,
     max_term_width = 100,
@@ -218,7 +218,7 @@
     let names = places.iter().map(|(name, _)| name.as_str());
     let mut shown = table(&["where the worth went", "of all"].into_iter().chain(names).collect::<Vec<_>>());
     for (end, part) in ends {
-        let of = |ends: &std::collections::BTreeMap<leadrelay_lab::End, f64>| {
+        let of = |ends: &std::collections::BTreeMap<leadrelay_simulator::End, f64>| {
             let all: f64 = ends.values().sum();
             format!("{:.2}%", 100.0 * ends.get(end).copied().unwrap_or(0.0) / all.max(1e-9))
         };
@@ -456,7 +456,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(text) => {
-            eprintln!("leadrelay-lab: {text}");
+            eprintln!("leadrelay-simulator: {text}");
             ExitCode::from(2)
         }
     }
--- a/crates/lab/src/reconnect.rs
+++ b/crates/simulator/src/reconnect.rs
@@ -8,7 +8,9 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use leadrelay_core::{Action, Balancer, Discovery, Event, Limits, Prices, Rating, Scope, Settings};
+use leadrelay_core::{
+    Action, Balancer, DiscoveryMode, Event, Limits, ListScope, Prices, Settings, WeightMeaning,
+};
 use serde::Serialize;
 
 use crate::backend::At;
@@ -80,7 +82,7 @@
     let mut actions = Vec::new();
     for (p, proxy) in proxies.iter_mut().enumerate() {
         // Each believes in a watch until it breaks.
-        proxy.handle(0.0, Event::List { scope: Scope::Cached, entries: Vec::new() }, &mut actions);
+        proxy.handle(0.0, Event::List { scope: ListScope::Cached, entries: Vec::new() }, &mut actions);
         proxy.handle(0.0, Event::Timer(0), &mut Vec::new());
         put(&mut heap, &mut events, 0.0, p, Happens::Failed);
         for action in actions.drain(..) {
@@ -96,10 +98,10 @@
         let (p, what) = (events[number].0, std::mem::replace(&mut events[number].1, Happens::Listed));
         let event = match what {
             Happens::Timer(token) => Event::Timer(token),
-            Happens::Failed => Event::List { scope: Scope::Failed, entries: Vec::new() },
+            Happens::Failed => Event::List { scope: ListScope::Failed, entries: Vec::new() },
             Happens::Listed => {
                 listed[p] = listed[p].or(Some(now));
-                Event::List { scope: Scope::Full, entries: Vec::new() }
+                Event::List { scope: ListScope::Full, entries: Vec::new() }
             }
         };
         proxies[p].handle(now, event, &mut actions);
@@ -145,29 +147,29 @@
     }
 }
 
-fn settings(me: u32, proxies: u32) -> Settings {
+fn settings(proxy_index: u32, proxies: u32) -> Settings {
     Settings {
-        me,
+        proxy_index,
         proxies,
         zone: None,
         classes: Vec::new(),
         tenants: Vec::new(),
-        over_share_worth: 1.0,
-        worth_by_work: false,
-        discovery: Discovery::OnRequest,
-        staleness: None,
-        rating: Rating::Silent,
-        warm_keys: false,
-        may_tell: false,
+        over_quota_fraction: 1.0,
+        weight_per_work: false,
+        discovery: DiscoveryMode::OnRequest,
+        notification_bounds: None,
+        weight_meaning: WeightMeaning::Unknown,
+        key_affinity: false,
+        gossip_enabled: false,
         prices: Prices::default(),
         limits: Limits {
             drain_grace: 2000.0,
-            ask_within: 10_000.0,
-            start_capacity: 1.0,
-            cold: 1.0,
-            fall_multiple: 1.0,
-            fall: 1000.0,
-            most_held: usize::MAX,
+            notified_without_watch: 10_000.0,
+            initial_capacity: 1.0,
+            slow_start_window: 1.0,
+            overload_multiple: 1.0,
+            overload_window: 1000.0,
+            max_open_requests: usize::MAX,
             max_attempts: 1,
         },
     }
--- a/crates/lab/src/wire.rs
+++ b/crates/simulator/src/wire.rs
@@ -12,7 +12,9 @@
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use leadrelay_core::{Action, BackendId, CallId, Event, Outcome, RefusalReason, RequestId, Scope, State};
+use leadrelay_core::{
+    Action, CallId, EndpointId, EndpointState, Event, ListScope, Outcome, RejectionReason, RequestId,
+};
 use serde_json::json;
 
 use crate::day::Day;
@@ -72,15 +74,15 @@
     let request = || fields.get("rid").and_then(|v| v.strip_prefix("r-")?.parse().ok()).map(RequestId);
     match name {
         "SUBMIT_TO" => {
-            let backend =
-                fields.get("backend").and_then(|v| v.strip_prefix("s-")?.parse().ok()).map(BackendId)?;
+            let endpoint =
+                fields.get("backend").and_then(|v| v.strip_prefix("s-")?.parse().ok()).map(EndpointId)?;
             let timeout = number("maxWait").filter(|ms| *ms > 0.0);
-            Some(Action::Send { request: request()?, backend, timeout, begin_by: None })
+            Some(Action::Send { request: request()?, endpoint, timeout, start_by: None })
         }
-        "TURN_AWAY" => Some(Action::Refuse {
+        "TURN_AWAY" => Some(Action::Reject {
             request: request()?,
             retry_after: number("retryAfter"),
-            reason: RefusalReason::TooLate,
+            reason: RejectionReason::TooLate,
         }),
         "REPORT_FAILURE" => Some(Action::Fail(request()?)),
         "WAKE_ME" => {
@@ -151,60 +153,60 @@
         match event {
             Event::List { scope, entries } => {
                 let scope = match scope {
-                    Scope::Delta => "delta",
-                    Scope::Full => "full",
-                    Scope::Cached => "cached",
-                    Scope::Failed => "failed",
+                    ListScope::Delta => "delta",
+                    ListScope::Full => "full",
+                    ListScope::Cached => "cached",
+                    ListScope::Failed => "failed",
                 };
                 let _ =
                     writeln!(text, "TOPOLOGY\ti={i}\tscope={scope}\tstamp=1\tnodesList={}", entries.len());
                 for e in entries {
                     let state = match e.state {
-                        State::Up => "up",
-                        State::Draining => "draining",
-                        State::Gone => "removed",
+                        EndpointState::Up => "up",
+                        EndpointState::Draining => "draining",
+                        EndpointState::Removed => "removed",
                     };
                     let zone = e.zone.map_or("", |z| self.zones[z.0 as usize].as_str());
-                    let kind = e.kind.map_or("", |k| self.kinds[k.0 as usize].as_str());
+                    let kind = e.machine_class.map_or("", |k| self.kinds[k.0 as usize].as_str());
                     let cell = e.cell.map_or(0, |c| c.0);
                     let _ = write!(
                         text,
                         "ITEM\tbackend=s-{}\tfailureDomain={zone}\tshape={kind}\tcell={cell}\tstate={state}\trating={}",
-                        e.id.0, e.rating
+                        e.id.0, e.weight
                     );
-                    let _ = e.since.map(|since| write!(text, "\tsince={since}"));
+                    let _ = e.started_at.map(|since| write!(text, "\tsince={since}"));
                     text.push('\n');
                 }
             }
-            Event::Request { id, class, tenant, key, budget, .. } => {
+            Event::Request { id, class, tenant, key, timeout, .. } => {
                 let class = &self.classes[class.0];
                 let _ =
-                    write!(text, "ARRIVAL\ti={i}\trid=r-{}\ttierClass={class}\ttimeBudget={budget}", id.0);
+                    write!(text, "ARRIVAL\ti={i}\trid=r-{}\ttierClass={class}\ttimeBudget={timeout}", id.0);
                 let _ = tenant.map(|t| write!(text, "\tuserGroup={}", self.tenants[t.0]));
                 let _ = key.map(|k| write!(text, "\tnameKey={}", k.0));
                 text.push('\n');
             }
-            Event::Ended { request, attempt, latency, outcome, closed } => {
+            Event::Ended { request, attempt, latency, outcome, finished } => {
                 let reason = match outcome {
                     Outcome::Served => "completed",
                     Outcome::Error => "errored",
-                    Outcome::Full => "saturated",
+                    Outcome::Rejected => "saturated",
                     Outcome::TimedOut => "overdue",
                     Outcome::ConnectFailed => "refused_conn",
                     Outcome::Reset => "severed",
                     Outcome::Cancelled => "recalled",
-                    Outcome::Moot => "superseded",
+                    Outcome::Withdrawn => "superseded",
                 };
-                let closed = u8::from(closed);
+                let closed = u8::from(finished);
                 let _ = writeln!(
                     text,
                     "OUTCOME\ti={i}\trid=r-{}\tlatency={latency}\tsendNo={attempt}\tclosed={closed}\treason={reason}",
                     request.0
                 );
             }
-            Event::Abandoned(id) => drop(writeln!(text, "HANGUP\ti={i}\trid=r-{}", id.0)),
+            Event::ClientClosed(id) => drop(writeln!(text, "HANGUP\ti={i}\trid=r-{}", id.0)),
             Event::Timer(token) => drop(writeln!(text, "DEADLINE_HIT\ti={i}\tkeyBack={token}")),
-            Event::Message { from, bytes } => {
+            Event::Gossip { from, bytes } => {
                 let _ = writeln!(text, "NOTE_FROM\ti={i}\twho={from}\tmsg={}", BASE64.encode(bytes));
             }
             _ => return None,
@@ -219,7 +221,7 @@
         let text = self.hello.take().unwrap_or_default() + &text;
         if let Err(e) = self.adapter.borrow_mut().batch(now, &text, out) {
             // Without its decisions the day can't go on, and its result would be worth nothing.
-            eprintln!("leadrelay-lab: {e}");
+            eprintln!("leadrelay-simulator: {e}");
             std::process::exit(1);
         }
     }
--- a/crates/lab/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -9,8 +9,8 @@
 use std::rc::Rc;
 
 use leadrelay_core::{
-    Action, Backend as Line, BackendId, Balancer, CellId, ClassId, DiscoveryEvent, Event, Key, KindId,
-    Outcome, RequestId, State, TenantId, ZoneId,
+    Action, AffinityKey, Balancer, CellId, ClassId, DiscoveryEvent, Endpoint as Line, EndpointId,
+    EndpointState, Event, MachineClassId, Outcome, RequestId, TenantId, ZoneId,
 };
 use rustc_hash::FxHashMap;
 
@@ -214,7 +214,8 @@
     fn new(day: &'a Day, brains: &'a Brains<'a>) -> Self {
         let mut seeds = Draw::new(day.seed, "proxies");
         let backends: Vec<Backend> = day.machines.iter().cloned().map(Backend::new).collect();
-        let list: Vec<Line> = backends.iter().enumerate().map(|(i, b)| line(i, b, State::Up)).collect();
+        let list: Vec<Line> =
+            backends.iter().enumerate().map(|(i, b)| line(i, b, EndpointState::Up)).collect();
         let proxy = |(p, &(zone, weight)): (usize, &(usize, f64))| Proxy {
             zone,
             weight,
@@ -364,21 +365,21 @@
             Ev::Leave(p) => {
                 self.proxies[p].leaving = true;
                 if self.proxies[p].alive {
-                    self.tell(p, Event::Leaving(true));
+                    self.tell(p, Event::Draining(true));
                 }
             }
             Ev::Die(p) => self.die(p),
             Ev::Rise(p) => self.rise(p),
             Ev::Retire(b) => self.retire(b),
-            Ev::Drain(b) => self.tell_discovery(b, State::Draining),
+            Ev::Drain(b) => self.tell_discovery(b, EndpointState::Draining),
             Ev::Stop(b) => {
                 self.stop(b);
-                self.tell_discovery(b, State::Gone);
+                self.tell_discovery(b, EndpointState::Removed);
             }
             Ev::Return(b) => {
                 self.backends[b].start(self.now);
                 self.seen_truth(b);
-                self.tell_discovery(b, State::Up);
+                self.tell_discovery(b, EndpointState::Up);
             }
         }
     }
@@ -459,9 +460,9 @@
             id: RequestId(t as u64),
             class: ClassId(r.class),
             tenant: (!self.day.allowances.is_empty()).then_some(TenantId(r.tenant)),
-            key: Some(Key(r.key)),
-            budget: due - self.now - self.day.ways[2],
-            hint: None,
+            key: Some(AffinityKey(r.key)),
+            timeout: due - self.now - self.day.ways[2],
+            expected_cost: None,
         };
         self.tell(proxy, event);
     }
@@ -483,7 +484,7 @@
                         format!("request {request}, try {t}"),
                     );
                 }
-                self.tell(proxy, Event::Abandoned(RequestId(t as u64)));
+                self.tell(proxy, Event::ClientClosed(RequestId(t as u64)));
             }
         }
         if early { self.finish(request, end, proxy, None) } else { self.again(t, end, 0.0) }
@@ -603,10 +604,10 @@
     fn perform(&mut self, p: usize, action: Action) {
         let life = self.proxies[p].life;
         match action {
-            Action::Send { request, backend, timeout, .. } => {
-                self.send(p, request.0 as usize, backend.0 as usize, timeout);
+            Action::Send { request, endpoint, timeout, .. } => {
+                self.send(p, request.0 as usize, endpoint.0 as usize, timeout);
             }
-            Action::Refuse { request, retry_after, .. } => {
+            Action::Reject { request, retry_after, .. } => {
                 let without_list = self.now >= self.proxies[p].brain.list_valid_until();
                 self.ledger.sums.refused_without_list += u64::from(without_list);
                 self.answer(request.0 as usize, Answer::Refused(retry_after.unwrap_or(0.0)));
@@ -752,7 +753,7 @@
         let a = &mut self.attempts[attempt];
         (a.over, a.may_have_run) = (true, outcome.may_have_run());
         match outcome {
-            Outcome::Served | Outcome::Error | Outcome::Full => {
+            Outcome::Served | Outcome::Error | Outcome::Rejected => {
                 *self.proxies[p].idle.entry(b).or_default() += 1
             }
             Outcome::TimedOut => {
@@ -772,7 +773,7 @@
             attempt: number,
             latency: self.now - sent,
             outcome,
-            closed,
+            finished: closed,
         };
         self.tell(p, event);
     }
@@ -786,7 +787,7 @@
                 && near
                 && !self.ways.chance(self.day.scenario.network.peer_loss)
             {
-                self.tell(p, Event::Message { from: from as u32, bytes: bytes.to_vec() });
+                self.tell(p, Event::Gossip { from: from as u32, bytes: bytes.to_vec() });
             }
         }
     }
@@ -881,7 +882,7 @@
             Taken::In => self.reckon(b),
             Taken::Full => {
                 self.attempts[attempt].met = Some(End::SentToFull);
-                self.after(way, Ev::Ended(attempt, Outcome::Full));
+                self.after(way, Ev::Ended(attempt, Outcome::Rejected));
             }
             Taken::Silent => {}
             Taken::Down => {
@@ -930,7 +931,7 @@
     fn retire(&mut self, b: usize) {
         self.backends[b].draining = true;
         self.seen_truth(b);
-        self.tell_discovery(b, State::Draining);
+        self.tell_discovery(b, EndpointState::Draining);
         self.after(DRAIN, Ev::Stop(b));
         let mut fresh = Backend::new(self.backends[b].machine.clone());
         fresh.start(self.now);
@@ -941,7 +942,7 @@
         self.late.holds.push(0.0);
         self.late.capacity.push(0.0);
         self.seen_truth(number);
-        self.tell_discovery(number, State::Up);
+        self.tell_discovery(number, EndpointState::Up);
     }
 
     // ---- faults ----
@@ -1054,15 +1055,15 @@
 }
 
 /// What the list says of a backend.
-fn line(number: usize, backend: &Backend, state: State) -> Line {
+fn line(number: usize, backend: &Backend, state: EndpointState) -> Line {
     let m = &backend.machine;
     Line {
-        id: BackendId(number as u64),
+        id: EndpointId(number as u64),
         zone: Some(ZoneId(m.zone as u32)),
-        kind: Some(KindId(m.kind as u32)),
+        machine_class: Some(MachineClassId(m.kind as u32)),
         cell: Some(CellId(m.cell)),
         state,
-        rating: m.rating,
-        since: backend.born.is_finite().then_some(backend.born),
+        weight: m.rating,
+        started_at: backend.born.is_finite().then_some(backend.born),
     }
 }
--- a/crates/lab/src/world/lists.rs
+++ b/crates/simulator/src/world/lists.rs
@@ -1,6 +1,6 @@
 //! How lists reach the proxies of a day: between the model of discovery, the rule on drains and who decides.
 
-use leadrelay_core::{Backend as Line, CallEnd, CallId, DiscoveryEvent, Event, Scope, State};
+use leadrelay_core::{CallEnd, CallId, DiscoveryEvent, Endpoint as Line, EndpointState, Event, ListScope};
 
 use super::{Ev, World, line};
 use crate::day::Day;
@@ -13,17 +13,17 @@
         let entries = self.proxies[p].list.clone();
         self.proxies[p].starts.clear();
         self.note_starts(p, &entries);
-        self.tell(p, Event::List { scope: Scope::Cached, entries });
+        self.tell(p, Event::List { scope: ListScope::Cached, entries });
     }
 
     /// Notes of which starts a proxy has been told.
     fn note_starts(&mut self, p: usize, lines: &[Line]) {
-        let starts = lines.iter().filter_map(|l| Some((l.id.0 as usize, l.since?)));
+        let starts = lines.iter().filter_map(|l| Some((l.id.0 as usize, l.started_at?)));
         self.proxies[p].starts.extend(starts);
     }
 
     /// The service learns of a change, late.
-    pub(super) fn tell_discovery(&mut self, b: usize, state: State) {
+    pub(super) fn tell_discovery(&mut self, b: usize, state: EndpointState) {
         let line = line(b, &self.backends[b], state);
         self.after(self.day.discovery.0, Ev::Notice(line));
     }
@@ -73,7 +73,7 @@
         if !self.lives(proxy, life) {
             return;
         }
-        if let DiscoveryEvent::Update { whole, entries, .. } = &event {
+        if let DiscoveryEvent::Update { complete: whole, entries, .. } = &event {
             self.remember(proxy, *whole, entries);
             self.note_starts(proxy, entries);
         }
@@ -94,7 +94,7 @@
         }
         for line in lines {
             list.retain(|l| l.id != line.id);
-            if line.state != State::Gone {
+            if line.state != EndpointState::Removed {
                 list.push(line.clone());
             }
         }
@@ -130,15 +130,15 @@
 /// What those are told that know of lists alone.
 fn as_list(event: DiscoveryEvent) -> Option<Event> {
     match event {
-        DiscoveryEvent::Update { whole, entries, .. } => {
-            let scope = if whole { Scope::Full } else { Scope::Delta };
+        DiscoveryEvent::Update { complete: whole, entries, .. } => {
+            let scope = if whole { ListScope::Full } else { ListScope::Delta };
             Some(Event::List { scope, entries })
         }
         DiscoveryEvent::Ended {
             end: CallEnd::Unreachable | CallEnd::Malformed | CallEnd::Closed, ..
-        } => Some(Event::List { scope: Scope::Failed, entries: Vec::new() }),
+        } => Some(Event::List { scope: ListScope::Failed, entries: Vec::new() }),
         DiscoveryEvent::Moved
-        | DiscoveryEvent::Succeeded
+        | DiscoveryEvent::TakeoverStarted
         | DiscoveryEvent::Connected(_)
         | DiscoveryEvent::Heartbeat { .. } => None,
     }
--- a/crates/lab/tests/lab.rs
+++ b/crates/simulator/tests/command_line.rs
@@ -2,9 +2,9 @@
 use std::path::Path;
 use std::process::{Command, Output};
 
-fn lab(args: &[&str]) -> Output {
+fn simulator(args: &[&str]) -> Output {
     let scenarios = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_leadrelay-lab"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_leadrelay-simulator"));
     command.current_dir(scenarios).args(args).output().expect("it starts")
 }
 
@@ -14,8 +14,9 @@
 
 #[test]
 fn the_same_seed_prints_the_same_bytes() {
-    let run =
-        |seed| lab(&["run", "headend.toml", "--seed", seed, "--seconds", "8", "--seeds", "3", "--json"]);
+    let run = |seed| {
+        simulator(&["run", "headend.toml", "--seed", seed, "--seconds", "8", "--seeds", "3", "--json"])
+    };
     let (one, two) = (run("1"), run("1"));
     assert_eq!(one.status.code(), Some(0), "{}", text(&one.stderr));
     assert_eq!(one.stdout, two.stdout);
@@ -25,7 +26,7 @@
 
 #[test]
 fn a_person_reads_where_the_worth_went() {
-    let told = text(&lab(&["run", "headend.toml", "--seconds", "8"]).stdout);
+    let told = text(&simulator(&["run", "headend.toml", "--seconds", "8"]).stdout);
     for word in ["headend seed 1 by core: G 0.", "where the worth went", "Served", "prices: cross_zone"] {
         assert!(told.contains(word), "{word} in {told}");
     }
@@ -34,7 +35,7 @@
 #[test]
 fn compare_tells_apart_what_differs_and_not_what_is_equal() {
     let compare = |a: &str, b: &str| {
-        let run = lab(&["compare", a, b, "headend.toml", "--seconds", "15", "--seeds", "8", "--json"]);
+        let run = simulator(&["compare", a, b, "headend.toml", "--seconds", "15", "--seeds", "8", "--json"]);
         let told: serde_json::Value = serde_json::from_slice(&run.stdout).expect("JSON");
         told["served"].clone()
     };
@@ -46,8 +47,17 @@
 
 #[test]
 fn cold_backends_stay_within_what_they_bear_whatever_is_lost_and_restarted() {
-    let run =
-        lab(&["cold", "cold.toml", "--proxies", "3,20", "--lost", "0,1", "--restarted", "0,1", "--json"]);
+    let run = simulator(&[
+        "cold",
+        "cold.toml",
+        "--proxies",
+        "3,20",
+        "--lost",
+        "0,1",
+        "--restarted",
+        "0,1",
+        "--json",
+    ]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
     let cells: Vec<serde_json::Value> =
         text(&run.stdout).lines().map(|l| serde_json::from_str(l).expect("JSON")).collect();
@@ -61,8 +71,18 @@
 
 #[test]
 fn who_knows_no_cold_backend_is_seen_to_push_it_over() {
-    let run =
-        lab(&["cold", "cold.toml", "--proxies", "20", "--lost", "0", "--restarted", "0", "--by", "random"]);
+    let run = simulator(&[
+        "cold",
+        "cold.toml",
+        "--proxies",
+        "20",
+        "--lost",
+        "0",
+        "--restarted",
+        "0",
+        "--by",
+        "random",
+    ]);
     assert_eq!(run.status.code(), Some(1), "{}", text(&run.stdout));
 }
 
@@ -81,10 +101,10 @@
         (&["cold", "cold.toml", "--by", "no/such/adapter"], "nor the path of an adapter"),
         (&["play"], "play"),
     ] {
-        let run = lab(args);
+        let run = simulator(args);
         assert_eq!(run.status.code(), Some(2), "{args:?}: {}", text(&run.stderr));
         assert!(text(&run.stderr).contains(word), "{args:?}: {}", text(&run.stderr));
     }
-    let run = lab(&["compare", "headend.toml", "core", "headend.toml", "--seconds", "2"]);
+    let run = simulator(&["compare", "headend.toml", "core", "headend.toml", "--seconds", "2"]);
     assert_eq!(run.status.code(), Some(2), "a file that is no program: {}", text(&run.stderr));
 }
--- a/crates/lab/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -1,11 +1,11 @@
 //! Small days, played whole.
 use std::path::{Path, PathBuf};
 
-use leadrelay_core::{Action, Event, Outcome, RefusalReason};
-use leadrelay_lab::decide::Baseline;
-use leadrelay_lab::draw::Range;
-use leadrelay_lab::scenario::FaultKind;
-use leadrelay_lab::{Day, Decide, End, Pick, Scenario, Truth, Version, play_by};
+use leadrelay_core::{Action, Event, Outcome, RejectionReason};
+use leadrelay_simulator::decide::Baseline;
+use leadrelay_simulator::draw::Range;
+use leadrelay_simulator::scenario::FaultKind;
+use leadrelay_simulator::{Day, Decide, End, Pick, Scenario, Truth, Version, play_by};
 
 fn scenarios() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios")
@@ -15,8 +15,8 @@
     Scenario::read(&scenarios().join(name)).expect("good")
 }
 
-fn play(day: &Day, version: Version) -> leadrelay_lab::Result {
-    leadrelay_lab::play(day, &version).expect("no adapter to start")
+fn play(day: &Day, version: Version) -> leadrelay_simulator::Result {
+    leadrelay_simulator::play(day, &version).expect("no adapter to start")
 }
 
 /// A day small enough for a test, with this scenario's faults.
@@ -104,7 +104,11 @@
         } = event
         {
             out.retain(|a| !matches!(a, Action::Fail(_)));
-            out.push(Action::Refuse { request: *request, retry_after: None, reason: RefusalReason::TooLate });
+            out.push(Action::Reject {
+                request: *request,
+                retry_after: None,
+                reason: RejectionReason::TooLate,
+            });
         }
     };
     let repeats: fn(&Event, &mut Vec<Action>) = |event, out| {
@@ -114,9 +118,9 @@
         {
             out.push(Action::Send {
                 request: *request,
-                backend: leadrelay_core::BackendId(0),
+                endpoint: leadrelay_core::EndpointId(0),
                 timeout: None,
-                begin_by: None,
+                start_by: None,
             });
         }
     };
@@ -127,8 +131,8 @@
     };
     let floods: fn(&Event, &mut Vec<Action>) = |_, out| {
         for action in out.iter_mut() {
-            if let Action::Send { backend, .. } = action {
-                backend.0 = if backend.0 >= 20 { backend.0 } else { backend.0 % 2 }; // two old ones, and all new ones
+            if let Action::Send { endpoint, .. } = action {
+                endpoint.0 = if endpoint.0 >= 20 { endpoint.0 } else { endpoint.0 % 2 }; // two old ones, and all new ones
             }
         }
     };
@@ -163,7 +167,7 @@
 #[test]
 fn a_fault_costs_what_it_strikes() {
     let day = |name: &str| play(&small(name, 5), Version::Baseline(Pick::SeesAll));
-    let of = |result: &leadrelay_lab::Result, end| result.ends.get(&end).copied().unwrap_or(0.0);
+    let of = |result: &leadrelay_simulator::Result, end| result.ends.get(&end).copied().unwrap_or(0.0);
     let (calm, herd, split) = (day("calm-mass.toml"), day("herd-mass.toml"), day("split-mass.toml"));
     assert_eq!((of(&calm, End::ProxyDead), of(&calm, End::LostWay)), (0.0, 0.0));
     assert!(of(&herd, End::ProxyDead) > 0.0, "{:?}", herd.ends);
--- a/crates/lab/tests/drains.rs
+++ b/crates/simulator/tests/drains.rs
@@ -3,13 +3,15 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-use leadrelay_core::{Action, Backend as Line, BackendId, Balancer, DiscoveryEvent, Event, Settings, State};
-use leadrelay_lab::discovery::Outage;
-use leadrelay_lab::drains::{DrainRule, Ground};
-use leadrelay_lab::draw::Range;
-use leadrelay_lab::scenario::{FaultKind, FaultOf};
-use leadrelay_lab::settings::settings;
-use leadrelay_lab::{Day, Decide, Result, Scenario, Truth, play_by};
+use leadrelay_core::{
+    Action, Balancer, DiscoveryEvent, Endpoint as Line, EndpointId, EndpointState, Event, Settings,
+};
+use leadrelay_simulator::discovery::Outage;
+use leadrelay_simulator::drains::{DrainRule, Ground};
+use leadrelay_simulator::draw::Range;
+use leadrelay_simulator::scenario::{FaultKind, FaultOf};
+use leadrelay_simulator::settings::settings;
+use leadrelay_simulator::{Day, Decide, Result, Scenario, Truth, play_by};
 
 const RULE: &str = "drains are kept";
 /// Proxies, and how many days are played with so many.
@@ -57,7 +59,7 @@
 /// Takes every backend that it was ever told of for one that takes work.
 struct IgnoresDrains {
     core: Balancer,
-    known: BTreeMap<BackendId, Line>,
+    known: BTreeMap<EndpointId, Line>,
 }
 
 impl IgnoresDrains {
@@ -71,8 +73,8 @@
         if let Event::List { entries, .. } | Event::Discovery(DiscoveryEvent::Update { entries, .. }) =
             &mut event
         {
-            for line in entries.drain(..).filter(|line| line.state != State::Gone) {
-                self.known.insert(line.id, Line { state: State::Up, ..line });
+            for line in entries.drain(..).filter(|line| line.state != EndpointState::Removed) {
+                self.known.insert(line.id, Line { state: EndpointState::Up, ..line });
             }
             entries.extend(self.known.values().cloned());
         }
@@ -90,7 +92,7 @@
 
 /// Plays a day by the core without a bound on the age of its list.
 fn play_unbounded(day: &Day) -> Result {
-    let settings = |p| Settings { staleness: None, ..settings(day, p) };
+    let settings = |p| Settings { notification_bounds: None, ..settings(day, p) };
     play_by(day, "unbounded", &|p, seed| Box::new(Balancer::new(settings(p), seed)))
 }
 
@@ -240,8 +242,8 @@
     }
 }
 
-fn line(state: State) -> Line {
-    Line { id: BackendId(7), state, ..Line::default() }
+fn line(state: EndpointState) -> Line {
+    Line { id: EndpointId(7), state, ..Line::default() }
 }
 
 /// Since when the drain of the backend, had by discovery at a time, counts as known to the first proxy.
@@ -253,14 +255,14 @@
 fn each_ground_of_the_rule_has_its_moment() {
     let watching = |pushed| {
         let mut rule = DrainRule::new(1, pushed);
-        rule.written(1000.0, 0, false, true, &[line(State::Up)]);
+        rule.written(1000.0, 0, false, true, &[line(EndpointState::Up)]);
         rule
     };
     let mut rule = watching(false);
     assert_eq!(known(&rule), None);
-    rule.learned(10_000.0, &line(State::Draining));
+    rule.learned(10_000.0, &line(EndpointState::Draining));
     assert_eq!(known(&rule), Some((16_000.0, Ground::Assumed)), "whatever calls fail");
-    rule.written(10_500.0, 0, false, false, &[line(State::Draining)]);
+    rule.written(10_500.0, 0, false, false, &[line(EndpointState::Draining)]);
     assert_eq!(known(&rule), Some((10_500.0, Ground::Written)));
     assert!(rule.check(0, 7, 12_550.0).is_ok(), "the grace and its slack");
     let forbidden = rule.check(0, 7, 12_551.0).expect_err("it is too late").to_string();
@@ -270,39 +272,39 @@
     );
 
     let mut rule = watching(false);
-    rule.learned(10_000.0, &line(State::Draining));
+    rule.learned(10_000.0, &line(EndpointState::Draining));
     rule.written(11_000.0, 0, false, true, &[]);
     assert_eq!(known(&rule), Some((11_000.0, Ground::Written)), "a whole list that leaves it out");
 
     let mut rule = watching(false);
     rule.fell_silent(8000.0, 0);
-    rule.learned(10_000.0, &line(State::Draining));
+    rule.learned(10_000.0, &line(EndpointState::Draining));
     assert_eq!(known(&rule), Some((14_000.0, Ground::Silent)));
-    rule.written(11_000.0, 0, false, true, &[line(State::Up)]);
+    rule.written(11_000.0, 0, false, true, &[line(EndpointState::Up)]);
     assert_eq!(known(&rule), Some((16_000.0, Ground::Assumed)), "the list has been told anew");
 
     let mut rule = watching(false);
     rule.moved(9000.0, 0);
-    rule.learned(10_000.0, &line(State::Draining));
+    rule.learned(10_000.0, &line(EndpointState::Draining));
     assert_eq!(known(&rule), Some((13_000.0, Ground::Moved)));
 
     let mut rule = watching(true);
-    rule.learned(10_000.0, &line(State::Draining));
+    rule.learned(10_000.0, &line(EndpointState::Draining));
     assert_eq!(known(&rule), Some((10_000.0, Ground::Pushed)), "at once");
     rule.started(12_000.0, 0);
     assert_eq!(known(&rule), Some((12_000.0, Ground::Pushed)), "from the first moment of a new process");
 
     let mut rule = watching(true);
     rule.fell_silent(9000.0, 0);
-    rule.learned(10_000.0, &line(State::Draining));
+    rule.learned(10_000.0, &line(EndpointState::Draining));
     assert_eq!(known(&rule), Some((15_000.0, Ground::Silent)), "one clock for silence");
     rule.watch_closed(12_000.0, 0);
     assert_eq!(known(&rule), Some((12_000.0, Ground::Pushed)), "given up, the agent's clock holds again");
 
     let mut rule = watching(true);
     rule.moved(9000.0, 0);
-    rule.learned(10_000.0, &line(State::Draining));
+    rule.learned(10_000.0, &line(EndpointState::Draining));
     assert_eq!(known(&rule), Some((13_000.0, Ground::Moved)));
-    rule.learned(11_000.0, &line(State::Up));
+    rule.learned(11_000.0, &line(EndpointState::Up));
     assert_eq!(known(&rule), None, "it takes work again");
 }
--- a/crates/lab/tests/reconnect.rs
+++ b/crates/simulator/tests/reconnect.rs
@@ -1,5 +1,5 @@
 //! A fleet whose watches all break at once, before a discovery that answers few calls.
-use leadrelay_lab::reconnect::{Storm, play};
+use leadrelay_simulator::reconnect::{Storm, play};
 
 fn storm(proxies: u32, patience_ms: f64) -> Storm {
     Storm {
