--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -111,7 +111,7 @@
                "busy_s": (seen.busy.as_secs_f64() * 1000.0).round() / 1000.0})
     };
     let causes = Cause::ALL.map(|cause| (cause.name().to_owned(), proxy.metrics.ended(cause).into()));
-    let choices = proxy.metrics.choices().map(|(name, count)| (name.to_owned(), count.into()));
+    let choices = proxy.metrics.decisions().map(|(name, count)| (name.to_owned(), count.into()));
     json!({
         "sent": clients.sent, "in_time": clients.in_time, "late": clients.late, "refused": clients.refused,
         "failed": clients.failed, "p50_ms": load.quantile(0.5), "p99_ms": load.quantile(0.99),
--- a/crates/cli/src/demo/view.rs
+++ b/crates/cli/src/demo/view.rs
@@ -26,7 +26,7 @@
         Shown {
             clients: load.counts(),
             backends: backends.iter().map(StandIn::seen).collect(),
-            choices: proxy.metrics.choices(),
+            choices: proxy.metrics.decisions(),
             waiting: proxy.metrics.waiting(),
             p50: load.quantile(0.5),
             p99: load.quantile(0.99),
--- a/crates/core/src/handover.rs
+++ b/crates/core/src/handover.rs
@@ -5,7 +5,7 @@
 
 impl Balancer {
     /// What a successor takes over.
-    pub fn learnt(&self) -> LearnedState {
+    pub fn learned_state(&self) -> LearnedState {
         let listed = self.servers.iter().filter(|s| s.told.is_none());
         LearnedState {
             endpoints: listed.map(|s| (s.info.id, mean(s.slow))).collect(),
@@ -30,7 +30,7 @@
 
     /// Takes over what a predecessor has learnt; what it knew nothing of stays as it is. The predecessor still
     /// spends its budgets for cold servers: those here begin empty.
-    pub fn resume(&mut self, learnt: LearnedState) {
+    pub fn restore(&mut self, learnt: LearnedState) {
         self.overlay.back =
             learnt.maintenance_returns.into_iter().map(|r| (r.endpoint, (r.out_at, r.back_at))).collect();
         for (id, slow) in learnt.endpoints.into_iter().filter(|s| s.1.is_usable()) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -15,7 +15,9 @@
 mod actions;
 mod balancer;
 mod bands;
+mod decision;
 mod endpoint;
+mod endpoint_status;
 mod estimates;
 mod events;
 mod gauges;
@@ -34,15 +36,17 @@
 mod policy;
 mod records;
 pub mod settings;
-mod standing;
 mod state;
 mod subscription;
 mod weighted_mean;
 mod wire_names;
 
 pub use actions::{Action, CancelReason, RejectionReason};
+pub use decision::{Decision, DecisionCounts};
 pub use endpoint::{Endpoint, EndpointState, ListScope};
+pub use endpoint_status::EndpointStatus;
 pub use events::{CallEnd, DiscoveryEvent, Event, Reconfiguration, UploadStage};
+pub use gauges::Gauges;
 pub use ids::{
     AffinityKey, CallId, CellId, ClassId, EndpointId, MachineClassId, Millis, RequestId, TenantId, ZoneId,
 };
@@ -54,6 +58,5 @@
     DeduplicationScope, DiscoveryMode, Idempotency, Limits, NotificationBounds, Prices, RequestClass,
     Settings, Tenant, WeightMeaning,
 };
-pub use standing::{Choices, EndpointStatus, Gauges};
 pub use state::Balancer;
 pub use weighted_mean::WeightedMean;
--- a/crates/core/src/listing.rs
+++ b/crates/core/src/listing.rs
@@ -5,7 +5,7 @@
 
 impl Balancer {
     /// Places for servers, vacant ones included.
-    pub fn places(&self) -> usize {
+    pub fn endpoint_table_len(&self) -> usize {
         self.servers.len()
     }
 
--- a/crates/core/src/operators.rs
+++ b/crates/core/src/operators.rs
@@ -64,7 +64,7 @@
     }
 
     /// Servers in maintenance.
-    pub fn maintained(&self) -> Vec<EndpointId> {
+    pub fn endpoints_in_maintenance(&self) -> Vec<EndpointId> {
         self.overlay.banned.keys().copied().collect()
     }
 
--- a/crates/core/src/policy/threshold.rs
+++ b/crates/core/src/policy/threshold.rs
@@ -3,9 +3,9 @@
 use super::cold::COLD_PART;
 use super::health::ALL_ILL;
 use super::review::TICK;
+use crate::decision::Decision;
 use crate::interface::*;
 use crate::records::Request;
-use crate::standing::{AT_ONCE, HELD, PAST_THRESHOLD, URGENT};
 use crate::state::Balancer;
 
 /// The largest τ in 0..=m(R−1) for which (3.3) is negative.
@@ -77,20 +77,20 @@
                 let (m, sum) = (m * (1.0 - self.blocked[r.class]), sum * (1.0 - self.blocked[r.class]));
                 let tau = || threshold(m, self.rate * self.mean / sum, sum / m / band.speed);
                 let choice = if m < 0.01 {
-                    AT_ONCE
+                    Decision::AtOnce
                 } else if urgent {
-                    URGENT
+                    Decision::Urgent
                 } else if self.waiting > tau() as usize {
-                    PAST_THRESHOLD
+                    Decision::PastThreshold
                 } else {
-                    HELD
+                    Decision::Held
                 };
-                self.choices[choice] += 1;
-                return (choice != HELD).then_some(k);
+                self.choices.record(choice);
+                return (choice != Decision::Held).then_some(k);
             };
             let warm = self.gain / s.cost; // for its key the home is a faster server
             if self.admitted(h, id, now) {
-                self.choices[AT_ONCE] += 1;
+                self.choices.record(Decision::AtOnce);
                 return Some(h);
             }
             // The home's slots are the faster ones, and those who wait for it over all proxies the queue.
@@ -99,14 +99,14 @@
             let tau = threshold(s.room, rho, warm / band.speed);
             let past = f64::from(s.wanted) * n > f64::from(tau);
             let choice = if urgent {
-                URGENT
+                Decision::Urgent
             } else if past {
-                PAST_THRESHOLD
+                Decision::PastThreshold
             } else {
-                HELD
+                Decision::Held
             };
-            self.choices[choice] += 1;
-            return (choice != HELD).then_some(k);
+            self.choices.record(choice);
+            return (choice != Decision::Held).then_some(k);
         }
         home.filter(|&h| self.admitted(h, id, now))
     }
--- a/crates/core/src/state.rs
+++ b/crates/core/src/state.rs
@@ -1,12 +1,12 @@
 //! All that one proxy's decisions know, and the plumbing of its queues. Nothing is decided here.
 use crate::bands::Bands;
+use crate::decision::DecisionCounts;
 use crate::interface::*;
 use crate::invariant::Violations;
 use crate::message::Peer;
 use crate::number::draw;
 use crate::overlay::Overlay;
 use crate::records::{Attempt, Kind, Request, Server};
-use crate::standing::Choices;
 use crate::subscription::Subscription;
 use crate::wire_names::WireNames;
 use rustc_hash::FxHashMap;
@@ -61,8 +61,8 @@
     pub(crate) news: Millis,     // mean span between this proxy's messages
     pub(crate) subscription: Subscription,
     pub(crate) overlay: Overlay,
-    pub(crate) safe_traffic: bool, // a class on offer is safe to repeat
-    pub(crate) choices: Choices,   // what the threshold has decided
+    pub(crate) safe_traffic: bool,      // a class on offer is safe to repeat
+    pub(crate) choices: DecisionCounts, // what the threshold has decided
     pub(crate) violations: Violations,
 }
 
--- a/crates/core/tests/choice.rs
+++ b/crates/core/tests/choice.rs
@@ -415,7 +415,7 @@
                 }
             }
         }
-        assert!(hand.balancer.places() <= 8, "{} places", hand.balancer.places());
+        assert!(hand.balancer.endpoint_table_len() <= 8, "{} places", hand.balancer.endpoint_table_len());
     }
 }
 
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -60,7 +60,7 @@
         for proxy_index in 0..of.proxies {
             let mut twin = hand(proxy_index, 2);
             twin.pass(began - twin.now);
-            twin.balancer.resume(hands[proxy_index as usize].balancer.learnt());
+            twin.balancer.restore(hands[proxy_index as usize].balancer.learned_state());
             twin.give(Event::OverlappingProcess(true));
             hands[proxy_index as usize].give(Event::OverlappingProcess(true));
             hands.push(twin);
--- a/crates/core/tests/upkeep.rs
+++ b/crates/core/tests/upkeep.rs
@@ -8,7 +8,7 @@
 
 /// Listed servers, and those of them that get nothing.
 fn standings(hand: &Hand) -> (usize, usize) {
-    let counts = hand.balancer.gauges(hand.now).standings;
+    let counts = hand.balancer.gauges(hand.now).endpoints_by_status;
     let avoided = EndpointStatus::ALL.iter().zip(counts).filter(|(s, _)| s.is_avoided());
     (counts.iter().sum(), avoided.map(|(_, n)| n).sum())
 }
--- a/crates/core/tests/wire_names.rs
+++ b/crates/core/tests/wire_names.rs
@@ -85,7 +85,7 @@
 
 /// Servers that are out of use because other proxies hold them for ill.
 fn blamed(hand: &Hand) -> usize {
-    hand.balancer.gauges(hand.now).standings[EndpointStatus::Blamed as usize]
+    hand.balancer.gauges(hand.now).endpoints_by_status[EndpointStatus::ReportedByPeers as usize]
 }
 
 #[test]
--- a/crates/proxy/src/driver/handover.rs
+++ b/crates/proxy/src/driver/handover.rs
@@ -28,7 +28,7 @@
         let class = |(name, _)| mean(speeds.classes.get(name).copied().unwrap_or_default());
         let kind = |name: &str| machine_class(speeds.kinds.get(name).copied().unwrap_or_default());
         let kinds = std::iter::once("").chain(self.names.machine_classes.iter().map(String::as_str));
-        self.balancer.resume(LearnedState {
+        self.balancer.restore(LearnedState {
             endpoints: speeds.servers.iter().map(|(id, slow)| (own(id), mean(*slow))).collect(),
             classes: classes.offered().map(class).collect(),
             machine_classes: kinds.map(kind).collect(),
@@ -106,7 +106,7 @@
     fn follow(&mut self, shared: &SharedState) {
         self.drain(shared.drained);
         shared.listed.iter().for_each(|id| self.backends.note_listed(EndpointId(*id)));
-        let held = self.balancer.maintained();
+        let held = self.balancer.endpoints_in_maintenance();
         let lifted = held.iter().filter(|id| !shared.bans.contains(&id.0));
         lifted.for_each(|id| self.ban(*id, false));
         let new = shared.bans.iter().map(|id| EndpointId(*id)).filter(|id| !held.contains(id));
@@ -115,7 +115,7 @@
 
     /// What the balancer has learnt, as the file holds it.
     fn speeds(&self) -> Speeds {
-        let learnt = self.balancer.learnt();
+        let learnt = self.balancer.learned_state();
         let classes = self.parts.classes.borrow();
         let class = |(name, id): (&str, usize)| Some((name.to_owned(), record(*learnt.classes.get(id)?)));
         let (now, offset) = (self.clock.at(Instant::now()), self.clock.offset());
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicI64, AtomicU64, Ordering::Relaxed};
 use std::sync::{Arc, Mutex, PoisonError};
 
-use leadrelay_core::{EndpointStatus, Gauges, Invariant, Outcome, RejectionReason};
+use leadrelay_core::{Decision, EndpointStatus, Gauges, Invariant, Outcome, RejectionReason};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -112,7 +112,7 @@
     pending: Gauge,
     standings: [Gauge; EndpointStatus::ALL.len()],
     list_valid: Gauge,
-    choices: [Counter; 4],
+    decisions: [Counter; Decision::COUNT],
     waiting: Gauge,
     running: Gauge,
     retry_budget: Gauge<f64, AtomicU64>,
@@ -135,9 +135,6 @@
     pub ready: AtomicBool,
 }
 
-/// The names of [`leadrelay_core::Choices`].
-const CHOICES: [&str; 4] = ["at_once", "past_threshold", "urgent", "held"];
-
 impl Default for Metrics {
     fn default() -> Self {
         let mut registry = Registry::with_prefix("leadrelay");
@@ -178,7 +175,8 @@
         let by_choice = Family::<ByChoice, Counter>::default();
         let help = "What the two-speed threshold decided at each look at a waiting request";
         registry.register("choices", help, by_choice.clone());
-        let choices = CHOICES.map(|c| by_choice.get_or_create_owned(&ByChoice { choice: Word(c) }));
+        let decisions =
+            Decision::ALL.map(|d| by_choice.get_or_create_owned(&ByChoice { choice: Word(d.name()) }));
         let waiting = Gauge::default();
         registry.register("requests_waiting", "Requests in the proxy's own queue", waiting.clone());
         let running = Gauge::default();
@@ -232,7 +230,7 @@
             pending,
             standings,
             list_valid,
-            choices,
+            decisions,
             waiting,
             running,
             retry_budget,
@@ -338,11 +336,11 @@
 
     /// Notes what holds in the module at present.
     pub fn gauge(&self, now: &Gauges) {
-        for (gauge, count) in self.standings.iter().zip(now.standings) {
+        for (gauge, count) in self.standings.iter().zip(now.endpoints_by_status) {
             gauge.set(count as i64);
         }
-        for (counter, count) in self.choices.iter().zip(now.choices) {
-            counter.inner().store(count, Relaxed);
+        for (counter, decision) in self.decisions.iter().zip(Decision::ALL) {
+            counter.inner().store(now.decisions.count(decision), Relaxed);
         }
         for (counter, invariant) in self.decision_violations.iter().zip(Invariant::ALL) {
             counter.inner().store(now.violations.count(invariant), Relaxed);
@@ -396,9 +394,9 @@
         classes.values().map(|c| c.ended[cause as usize].get()).sum()
     }
 
-    /// What the threshold has decided, named as in [`leadrelay_core::Choices`].
-    pub fn choices(&self) -> [(&'static str, u64); 4] {
-        std::array::from_fn(|i| (CHOICES[i], self.choices[i].get()))
+    /// How often the threshold decided what, by the decision's name.
+    pub fn decisions(&self) -> [(&'static str, u64); Decision::COUNT] {
+        Decision::ALL.map(|decision| (decision.name(), self.decisions[decision as usize].get()))
     }
 
     /// Requests that wait in the proxy's own queue.
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -26,8 +26,8 @@
     }
     metrics.attempt(Outcome::Served, 20.0);
     let mut now = Gauges::default();
-    now.standings[EndpointStatus::Ill as usize] = 2;
-    now.standings[EndpointStatus::InUse as usize] = 5;
+    now.endpoints_by_status[EndpointStatus::Ejected as usize] = 2;
+    now.endpoints_by_status[EndpointStatus::InUse as usize] = 5;
     metrics.gauge(&now);
     let text = metrics.openmetrics();
     for cause in Cause::ALL {
