--- /dev/null
+++ b/crates/core/src/balancer/discovery.rs
@@ -0,0 +1,121 @@
+//! Events of discovery: lists, and the calls by which they come.
+
+use super::Balancer;
+use crate::actions::{Action, CancelReason};
+use crate::discovery::{Admission, Phase, overdue, retry_at};
+use crate::endpoint::{Endpoint, ListScope};
+use crate::events::{CallEnd, DiscoveryEvent};
+use crate::ids::{CallId, Millis};
+use crate::settings::{DiscoveryMode, NotificationBounds};
+
+impl Balancer {
+    /// Takes in what the transport sees of discovery.
+    pub(super) fn handle_discovery(&mut self, now: Millis, event: DiscoveryEvent, out: &mut Vec<Action>) {
+        match event {
+            DiscoveryEvent::Moved => {
+                let notified_by = now + self.notification_bounds().after_move;
+                if let Some(call) = self.subscription.moved(now, notified_by) {
+                    out.push(Action::Unsubscribe { call, reason: CancelReason::Moved });
+                }
+            }
+            DiscoveryEvent::TakeoverStarted => {
+                let notified_by = now + self.notification_bounds().after_takeover;
+                self.subscription.notified_by(notified_by);
+            }
+            DiscoveryEvent::Connected(call) => self.subscription.connected(call),
+            DiscoveryEvent::Update { call, read_at, version, complete, entries } => {
+                match self.subscription.admission(call, version, complete) {
+                    Admission::Apply => {
+                        self.record_received(call, read_at, Some(version), out);
+                        self.apply_list(now, complete, entries);
+                    }
+                    Admission::Unchanged => self.record_received(call, read_at, None, out),
+                    Admission::Ignore => {}
+                    Admission::Reject => self.cancel_call(now, CancelReason::VersionGap, out),
+                }
+            }
+            DiscoveryEvent::Heartbeat { call, read_at } => {
+                if self.subscription.confirms(call) {
+                    self.record_received(call, read_at, None, out);
+                }
+            }
+            DiscoveryEvent::Ended { call, at, end } => {
+                if self.subscription.ended(call, at, end) {
+                    self.schedule_call(now);
+                }
+            }
+        }
+        self.follow_discovery(now, out);
+    }
+
+    /// Takes in a list by a transport that loses none, or from a cache.
+    pub(super) fn handle_list(&mut self, now: Millis, scope: ListScope, entries: Vec<Endpoint>) {
+        if let Some(call) = self.subscription.call() {
+            match scope {
+                ListScope::Failed => {
+                    self.subscription.ended(call, now, CallEnd::Closed);
+                    self.schedule_call(now);
+                }
+                ListScope::Full | ListScope::Delta => {
+                    self.subscription.received(call, now, None);
+                }
+                ListScope::Cached => {}
+            }
+        }
+        if scope != ListScope::Failed {
+            self.apply_list(now, scope == ListScope::Full, entries);
+        }
+    }
+
+    /// Gives up a call that takes too long, and makes the next one when it is due.
+    pub(super) fn follow_discovery(&mut self, now: Millis, out: &mut Vec<Action>) {
+        let may_lose_updates = self.settings.notification_bounds.is_some();
+        if may_lose_updates && let Some(reason) = overdue(self.subscription.phase(), now) {
+            self.cancel_call(now, reason, out);
+        }
+        let makes_calls = may_lose_updates || self.settings.discovery == DiscoveryMode::OnRequest;
+        if let Phase::Disconnected { retry_at } = self.subscription.phase()
+            && makes_calls
+            && now >= retry_at
+        {
+            let (call, after) = self.subscription.open(now);
+            out.push(Action::Subscribe { call, after });
+        }
+    }
+
+    fn cancel_call(&mut self, now: Millis, reason: CancelReason, out: &mut Vec<Action>) {
+        if let Some(call) = self.subscription.cancel(now, reason) {
+            out.push(Action::Unsubscribe { call, reason });
+            self.schedule_call(now);
+        }
+    }
+
+    fn record_received(
+        &mut self, call: CallId, read_at: Millis, version: Option<u64>, out: &mut Vec<Action>,
+    ) {
+        if let Some(former) = self.subscription.received(call, read_at, version) {
+            out.push(Action::Unsubscribe { call: former, reason: CancelReason::Moved });
+        }
+    }
+
+    /// Schedules the next call after one that has ended.
+    fn schedule_call(&mut self, now: Millis) {
+        let uniform = self.rng.f64();
+        let at = retry_at(now, &self.subscription, &self.settings, uniform);
+        self.subscription.schedule_retry(at);
+    }
+
+    fn notification_bounds(&self) -> NotificationBounds {
+        self.settings.notification_bounds.unwrap_or_default()
+    }
+
+    /// The version of the list that is held; `None` if discovery has sent none.
+    pub fn list_version(&self) -> Option<u64> {
+        self.subscription.version()
+    }
+
+    /// Whether an update of the list would be applied.
+    pub fn admits_update(&self, call: CallId, version: u64, complete: bool) -> bool {
+        self.subscription.admission(call, version, complete) == Admission::Apply
+    }
+}
--- /dev/null
+++ b/crates/core/src/balancer/endpoint_updates.rs
@@ -0,0 +1,141 @@
+//! What follows for an endpoint from a list, from time, and from its load.
+
+use super::Balancer;
+use crate::endpoint::Endpoint;
+use crate::endpoints::{EndpointIndex, TierIndex};
+use crate::hash::unit_hash;
+use crate::ids::Millis;
+use crate::slow_start::{SlowStartShare, slow_start_factor};
+
+/// Tiers by which another proxy's slot counts slower, as both may take it at once.
+const BORROWED_TIERS: usize = 3;
+/// Idle capacity from which on a slot of another proxy may be borrowed.
+const MIN_IDLE_CAPACITY: f64 = 0.5;
+/// Lower bound of an endpoint's capacity where it is divided by.
+const MIN_HASH_CAPACITY: f64 = 1e-6;
+
+/// Whether an endpoint may be sent requests, and how fast it counts.
+struct Eligibility {
+    /// A request with affinity may be sent.
+    available: bool,
+    /// The tier in which it is open for requests without affinity.
+    open_tier: Option<TierIndex>,
+}
+
+impl Balancer {
+    /// Takes in the entries of a list, and what follows from them for each endpoint.
+    pub(super) fn apply_list(&mut self, now: Millis, complete: bool, entries: Vec<Endpoint>) {
+        let classes = self.settings.classes.len();
+        let recorded = self.endpoints.record_list(now, complete, entries, classes, &mut self.overrides);
+        for endpoint in recorded {
+            self.latency.add_machine_class(self.endpoints[endpoint].machine_class);
+            self.start_slow_start_if_restarted(endpoint, now);
+            self.update_slots(endpoint);
+            self.update_speed(endpoint, now);
+        }
+    }
+
+    /// A new process warms up, and nothing is held against it.
+    fn start_slow_start_if_restarted(&mut self, endpoint: EndpointIndex, now: Millis) {
+        let entry = &mut self.endpoints[endpoint];
+        if std::mem::take(&mut entry.restarted) {
+            entry.slow_start.restart(now, self.rng.f64());
+            entry.outlier.reset(now);
+        }
+    }
+
+    pub(super) fn slow_start_factor(&self, endpoint: EndpointIndex, now: Millis) -> f64 {
+        let started_at = self.endpoints[endpoint].listed.started_at;
+        slow_start_factor(started_at, now, &self.settings.limits)
+    }
+
+    /// Refills the budget of an endpoint in slow start.
+    pub(super) fn refill_slow_start(&mut self, endpoint: EndpointIndex, now: Millis) {
+        let factor = self.slow_start_factor(endpoint, now);
+        let entry = &self.endpoints[endpoint];
+        let class = self.latency.machine_class(entry.machine_class);
+        let share = SlowStartShare {
+            capacity: entry.slots.capacity,
+            work_per_request: class.work_per_request(self.latency.mean()),
+            proxies: self.settings.proxies,
+            process_fraction: self.sharing().process_fraction(),
+        };
+        let entry = &mut self.endpoints[endpoint];
+        let started_at = entry.listed.started_at;
+        entry.slow_start.refill(now, factor, started_at, &share, &self.settings.limits);
+    }
+
+    /// Computes anew how many requests an endpoint may hold, and which part of them is this proxy's own.
+    pub(super) fn update_slots(&mut self, endpoint: EndpointIndex) {
+        let shares_all_endpoints = self.shares_all_endpoints();
+        let sharing = self.sharing();
+        let entry = &self.endpoints[endpoint];
+        let cores = sharing.cores(entry);
+        let slots = sharing.allot(entry, cores, shares_all_endpoints);
+        let entry = &mut self.endpoints[endpoint];
+        entry.slots = slots;
+        let capacity = entry.listed.weight * entry.slow_start_factor;
+        entry.affinity.hash_weight = 1.0 / capacity.max(MIN_HASH_CAPACITY);
+        self.latency.machine_class_mut(entry.machine_class).set_cores(cores);
+    }
+
+    /// Computes anew how fast an endpoint is.
+    pub(super) fn update_speed(&mut self, endpoint: EndpointIndex, now: Millis) {
+        let factor = self.slow_start_factor(endpoint, now);
+        let speed = self.latency.speed_of(&self.endpoints[endpoint], factor, &self.settings);
+        let entry = &mut self.endpoints[endpoint];
+        entry.processing_fraction = speed.processing_fraction;
+        entry.cost = speed.cost;
+        entry.slow_start_factor = factor;
+        entry.tier = self.tiers.tier_of(speed.cost);
+        self.update_eligibility(endpoint, now);
+    }
+
+    /// Computes anew whether an endpoint is open, and for which requests.
+    pub(super) fn update_eligibility(&mut self, endpoint: EndpointIndex, now: Millis) {
+        let entry = &self.endpoints[endpoint];
+        let is_usable = self.outliers.is_usable(entry, now);
+        let concurrency = entry.expected_concurrency(self.settings.zone);
+        let eligibility = self.eligibility(endpoint, is_usable, concurrency);
+        let admission_probability = self.sharing().admission_probability(entry, concurrency);
+        let slots = if is_usable { entry.slots.own_slots * entry.slow_start_factor } else { 0.0 };
+        let slot_tier = entry.tier;
+        let affinity = &mut self.endpoints[endpoint].affinity;
+        affinity.available = eligibility.available;
+        affinity.admission_probability = admission_probability;
+        self.tiers.file(&mut self.endpoints, endpoint, slot_tier, slots, eligibility.open_tier);
+    }
+
+    fn eligibility(&self, endpoint: EndpointIndex, is_usable: bool, concurrency: f64) -> Eligibility {
+        let entry = &self.endpoints[endpoint];
+        let may_send = is_usable
+            && (!entry.outlier.is_on_probation() || entry.load.own == 0)
+            && (!entry.is_warming_up() || entry.slow_start.covers_send());
+        let own_slots = entry.slots.own_slots;
+        let min_slots = if self.settings.key_affinity { 1.0 } else { 0.0 };
+        let has_own_slot = may_send && f64::from(entry.load.own) < own_slots.max(min_slots);
+        if !self.settings.gossip_enabled {
+            // Nothing is known of the others' load: only what is surely this proxy's own.
+            return Eligibility { available: has_own_slot, open_tier: has_own_slot.then_some(entry.tier) };
+        }
+        let capacity = entry.present_capacity();
+        if has_own_slot && concurrency < capacity && own_slots > 0.0 {
+            return Eligibility { available: true, open_tier: Some(entry.tier) };
+        }
+        let has_idle_slot = may_send && concurrency + MIN_IDLE_CAPACITY < capacity;
+        let may_borrow = has_idle_slot && self.may_borrow(endpoint, concurrency);
+        Eligibility {
+            available: has_idle_slot,
+            open_tier: may_borrow.then(|| entry.tier.slower_by(BORROWED_TIERS)),
+        }
+    }
+
+    /// Whether this proxy may use an idle slot of another one. All proxies see the same idle slots; each may borrow at
+    /// a random part of the endpoints only, drawn anew in each review interval, so that about one comes for each slot.
+    fn may_borrow(&self, endpoint: EndpointIndex, concurrency: f64) -> bool {
+        let entry = &self.endpoints[endpoint];
+        let probability = self.sharing().borrow_probability(entry, concurrency);
+        let proxy = u64::from(self.settings.proxy_index);
+        unit_hash(entry.listed.id.0 ^ self.schedule.epoch(), proxy) < probability
+    }
+}
--- a/crates/core/src/gauges.rs
+++ b/crates/core/src/balancer/gauges.rs
@@ -1,10 +1,11 @@
-//! What holds in a proxy's decisions at present, for whoever watches it.
+//! What holds in a proxy's decisions at present, for metrics.
+
+use super::Balancer;
 use crate::decision::DecisionCounts;
 use crate::endpoint_status::EndpointStatus;
-use crate::interface::*;
+use crate::endpoints::EndpointEntry;
+use crate::ids::Millis;
 use crate::invariant::Violations;
-use crate::records::Server;
-use crate::state::Balancer;
 
 /// What holds at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -26,43 +27,41 @@
 }
 
 impl Balancer {
-    /// How a listed server is treated now.
-    fn standing(&self, s: &Server, now: Millis) -> EndpointStatus {
-        if self.overlay.is_banned(s.info.id) {
+    /// What holds now. Its cost grows with the endpoints listed.
+    pub fn gauges(&self, now: Millis) -> Gauges {
+        let mut endpoints_by_status = [0; EndpointStatus::ALL.len()];
+        for entry in self.endpoints.iter().filter(|entry| entry.is_listed()) {
+            endpoints_by_status[self.status(entry, now) as usize] += 1;
+        }
+        Gauges {
+            endpoints_by_status,
+            list_valid: now < self.list_valid_until(),
+            waiting: self.queues.waiting(),
+            running: self.requests.running().len(),
+            retry_budget: self.retry_budget.remaining(),
+            decisions: self.decisions,
+            violations: self.violations,
+        }
+    }
+
+    /// How a listed endpoint is treated now.
+    fn status(&self, entry: &EndpointEntry, now: Millis) -> EndpointStatus {
+        if self.overrides.is_in_maintenance(entry.listed.id) {
             EndpointStatus::Maintenance
-        } else if s.told.is_some() {
+        } else if !entry.is_in_service() {
             EndpointStatus::Draining
-        } else if !self.usable(s, now) {
-            match (s.health.closed > now, s.full) {
+        } else if !self.outliers.is_usable(entry, now) {
+            match (entry.outlier.is_ejected(now), entry.outlier.is_rejecting()) {
                 (true, true) => EndpointStatus::Rejecting,
                 (true, false) => EndpointStatus::Ejected,
                 (false, _) => EndpointStatus::ReportedByPeers,
             }
-        } else if s.fresh && s.warmth < 1.0 {
+        } else if entry.is_warming_up() {
             EndpointStatus::WarmingUp
-        } else if s.health.trial && !self.doubt {
+        } else if entry.outlier.is_on_probation() && !self.outliers.is_in_panic_mode() {
             EndpointStatus::Probation
         } else {
             EndpointStatus::InUse
         }
     }
-
-    /// What holds now. Its cost grows with the servers listed.
-    pub fn gauges(&self, now: Millis) -> Gauges {
-        let mut endpoints_by_status = [0; EndpointStatus::ALL.len()];
-        for s in self.servers.iter().filter(|s| s.info.state != EndpointState::Removed) {
-            endpoints_by_status[self.standing(s, now) as usize] += 1;
-        }
-        let (waiting, running) = (self.waiting, self.running.len());
-        let list_valid = now < self.list_valid_until();
-        Gauges {
-            endpoints_by_status,
-            list_valid,
-            waiting,
-            running,
-            retry_budget: self.retries,
-            decisions: self.choices,
-            violations: self.violations,
-        }
-    }
 }
--- /dev/null
+++ b/crates/core/src/balancer/mod.rs
@@ -0,0 +1,179 @@
+//! The decisions of one proxy: components that each own a part of the state, and the steps that hand events to them.
+
+mod answers;
+mod arrivals;
+mod attempts;
+mod discovery;
+mod dispatch;
+mod endpoint_updates;
+mod gauges;
+mod housekeeping;
+mod operators;
+mod peers;
+mod selection;
+mod send_guard;
+mod takeover;
+
+pub use gauges::Gauges;
+
+use crate::actions::{Action, RejectionReason};
+use crate::decision::DecisionCounts;
+use crate::discovery::{Subscription, list_valid_until};
+use crate::endpoints::{EndpointTable, SpeedTiers};
+use crate::estimators::{ArrivalRate, LatencyModel, RequestCosts};
+use crate::events::Event;
+use crate::gossip::GossipState;
+use crate::ids::{Millis, RequestId};
+use crate::invariant::Violations;
+use crate::limits::{CapacitySharing, ConcurrencyLimiter, RetryBudget, TenantQuotas};
+use crate::operator_overrides::OperatorOverrides;
+use crate::outlier_detector::OutlierDetector;
+use crate::requests::{AbandonedAttempts, Priorities, RequestQueues, RequestTable};
+use crate::schedule::{Schedule, TICK};
+use crate::settings::{Idempotency, RequestClass, Settings};
+use arrivals::NewRequest;
+use attempts::AttemptEnd;
+
+/// The token of the periodic timer; a request's own timer has the request's number plus one.
+const PERIODIC_TIMER: u64 = 0;
+
+/// The decisions of one proxy: hand it what the proxy sees with [`Balancer::handle`] and carry out what it returns.
+pub struct Balancer {
+    settings: Settings,
+    /// A class on offer is idempotent.
+    has_idempotent_class: bool,
+    rng: fastrand::Rng,
+    schedule: Schedule,
+    endpoints: EndpointTable,
+    tiers: SpeedTiers,
+    requests: RequestTable,
+    queues: RequestQueues,
+    abandoned: AbandonedAttempts,
+    latency: LatencyModel,
+    arrivals: ArrivalRate,
+    request_costs: RequestCosts,
+    quotas: TenantQuotas,
+    retry_budget: RetryBudget,
+    outliers: OutlierDetector,
+    concurrency: ConcurrencyLimiter,
+    gossip: GossipState,
+    subscription: Subscription,
+    overrides: OperatorOverrides,
+    decisions: DecisionCounts,
+    violations: Violations,
+}
+
+impl Balancer {
+    /// Starts a proxy that knows nothing yet; `seed` is the only source of chance.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let classes = settings.classes.len();
+        Balancer {
+            has_idempotent_class: settings.classes.iter().any(is_idempotent),
+            rng: fastrand::Rng::with_seed(seed),
+            schedule: Schedule::default(),
+            endpoints: EndpointTable::default(),
+            tiers: SpeedTiers::new(),
+            requests: RequestTable::default(),
+            queues: RequestQueues::new(classes),
+            abandoned: AbandonedAttempts::default(),
+            latency: LatencyModel::new(&settings),
+            arrivals: ArrivalRate::default(),
+            request_costs: RequestCosts::new(classes),
+            quotas: TenantQuotas::new(settings.tenants.len()),
+            retry_budget: RetryBudget::new(),
+            outliers: OutlierDetector::new(classes),
+            concurrency: ConcurrencyLimiter::new(),
+            gossip: GossipState::new(settings.proxies),
+            subscription: Subscription::new(),
+            overrides: OperatorOverrides::default(),
+            decisions: DecisionCounts::default(),
+            violations: Violations::default(),
+            settings,
+        }
+    }
+
+    /// Takes in one event and appends what is to be done, in order. `now` never runs backwards.
+    pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
+        if !self.schedule.is_started() {
+            self.start(now, out);
+        }
+        match event {
+            Event::Discovery(event) => self.handle_discovery(now, event, out),
+            Event::List { scope, entries } => self.handle_list(now, scope, entries),
+            Event::Request { id, class, tenant, key, timeout, expected_cost } => {
+                let request = NewRequest { id, class, tenant, key, timeout, expected_cost };
+                self.handle_arrival(now, request, out);
+            }
+            Event::Started { request, .. } => self.handle_response_start(request),
+            Event::Ended { request, attempt, latency, outcome, finished } => {
+                let end = AttemptEnd { request, attempt: attempt as usize, latency, outcome, finished };
+                self.handle_attempt_end(now, end, out);
+            }
+            Event::Upload { request, stage } => self.handle_upload(now, request, stage),
+            Event::Reconfigure(reconfiguration) => self.reconfigure(*reconfiguration),
+            Event::Draining(draining) => self.overrides.draining = draining,
+            Event::OverlappingProcess(overlapping) => self.overrides.overlapping_process = overlapping,
+            Event::Maintenance { endpoint, enabled } => self.handle_maintenance(now, endpoint, enabled),
+            Event::ClientClosed(request) => self.finish(request),
+            Event::Timer(PERIODIC_TIMER) => self.tick(now, out),
+            Event::Timer(token) => {
+                self.answer(RequestId(token - 1), RejectionReason::TooLate, out);
+            }
+            Event::Gossip { from, bytes } => {
+                // Waiting requests are looked at with the next event of another kind.
+                return self.handle_gossip(now, from as usize, &bytes);
+            }
+        }
+        self.dispatch(now, out);
+        self.shed_load(out);
+    }
+
+    /// Starts the clocks of all components with the first event.
+    fn start(&mut self, now: Millis, out: &mut Vec<Action>) {
+        self.schedule.advance();
+        self.arrivals.start(now);
+        self.gossip.start(now);
+        self.subscription.start(now);
+        let first_tick = now + self.rng.f64() * TICK;
+        out.push(Action::Timer { token: PERIODIC_TIMER, at: first_tick });
+    }
+
+    /// Until when requests may be sent by the endpoint list that is held.
+    pub fn list_valid_until(&self) -> Millis {
+        list_valid_until(&self.subscription, &self.settings)
+    }
+
+    /// How often a decision would have broken an invariant; none was carried out.
+    pub fn violations(&self) -> &Violations {
+        &self.violations
+    }
+
+    /// How many endpoint records there is room for, vacant ones included.
+    pub fn endpoint_table_len(&self) -> usize {
+        self.endpoints.len()
+    }
+
+    fn priorities(&self) -> Priorities<'_> {
+        Priorities { settings: &self.settings, latency: &self.latency }
+    }
+
+    fn sharing(&self) -> CapacitySharing<'_> {
+        CapacitySharing {
+            settings: &self.settings,
+            endpoints: &self.endpoints,
+            latency: &self.latency,
+            arrivals: &self.arrivals,
+            queues: &self.queues,
+            gossip: &self.gossip,
+            overrides: &self.overrides,
+        }
+    }
+
+    fn shares_all_endpoints(&self) -> bool {
+        self.concurrency.shares_all_endpoints(&self.settings, &self.endpoints, &self.latency)
+    }
+}
+
+fn is_idempotent(class: &RequestClass) -> bool {
+    class.idempotency == Idempotency::Always
+}
--- /dev/null
+++ b/crates/core/src/balancer/operators.rs
@@ -0,0 +1,61 @@
+//! What operators do to a proxy that runs: maintenance of an endpoint, other settings.
+
+use super::{Balancer, is_idempotent};
+use crate::events::Reconfiguration;
+use crate::ids::{EndpointId, Millis};
+use crate::settings::Settings;
+
+impl Balancer {
+    /// Takes an endpoint out of service or puts it back, however often that is said.
+    pub(super) fn handle_maintenance(&mut self, now: Millis, id: EndpointId, enabled: bool) {
+        if enabled {
+            self.overrides.start_maintenance(id, now);
+        } else {
+            let keep_for = self.settings.limits.slow_start_window;
+            if !self.overrides.end_maintenance(id, now, keep_for) {
+                return;
+            }
+        }
+        if let Some(endpoint) = self.endpoints.find(id) {
+            let listed = self.endpoints[endpoint].listed.clone();
+            self.apply_list(now, false, vec![listed]);
+        }
+    }
+
+    /// Takes other settings, but for those that need a restart: the index of this proxy, and how lists and gossip reach
+    /// it. A class with another one's number starts with what was learned there.
+    pub(super) fn reconfigure(&mut self, reconfiguration: Reconfiguration) {
+        let Reconfiguration { settings, inherits_from, offered } = reconfiguration;
+        let classes = &settings.classes;
+        self.latency.reconfigure(classes, &inherits_from);
+        self.request_costs.reconfigure(&inherits_from);
+        self.outliers.reconfigure(&inherits_from);
+        for entry in self.endpoints.iter_mut() {
+            let refilled_at = entry.slow_start.refilled_at();
+            entry.outlier.reconfigure(&inherits_from, refilled_at);
+        }
+        self.queues.reconfigure(classes.len());
+        self.quotas.reconfigure(settings.tenants.len());
+        self.has_idempotent_class =
+            classes.iter().zip(&offered).any(|(class, &offered)| offered && is_idempotent(class));
+        self.settings = Settings {
+            proxy_index: self.settings.proxy_index,
+            proxies: self.settings.proxies,
+            zone: self.settings.zone,
+            discovery: self.settings.discovery,
+            notification_bounds: self.settings.notification_bounds,
+            gossip_enabled: self.settings.gossip_enabled,
+            ..settings
+        };
+    }
+
+    /// Endpoints in maintenance.
+    pub fn endpoints_in_maintenance(&self) -> Vec<EndpointId> {
+        self.overrides.endpoints_in_maintenance()
+    }
+
+    /// Whether an operator has taken an endpoint out of service.
+    pub fn in_maintenance(&self, id: EndpointId) -> bool {
+        self.overrides.is_in_maintenance(id)
+    }
+}
--- /dev/null
+++ b/crates/core/src/endpoints/mod.rs
@@ -0,0 +1,13 @@
+//! The endpoints on the list: one record each, and their order by speed.
+
+mod entry;
+mod index;
+mod names;
+mod speed_tiers;
+mod table;
+
+pub(crate) use entry::{EndpointEntry, SlotAllotment};
+pub(crate) use index::EndpointIndex;
+pub(crate) use names::EndpointNames;
+pub(crate) use speed_tiers::{SpeedTier, SpeedTiers, TierIndex};
+pub(crate) use table::EndpointTable;
--- /dev/null
+++ b/crates/core/src/endpoints/table.rs
@@ -0,0 +1,179 @@
+//! The records of all endpoints that are listed or still referred to.
+
+use std::ops::{Index, IndexMut};
+
+use rustc_hash::FxHashMap;
+
+use super::{EndpointEntry, EndpointIndex, EndpointNames};
+use crate::endpoint::{Endpoint, EndpointState};
+use crate::ids::{EndpointId, Millis};
+use crate::machine_class::MachineClassIndex;
+use crate::operator_overrides::OperatorOverrides;
+
+/// Lower bound of the total weight, which is divided by.
+const MIN_TOTAL_WEIGHT: f64 = 1e-6;
+
+/// The records of all endpoints, with the positions that are free again and the names that gossip uses.
+#[derive(Default)]
+pub(crate) struct EndpointTable {
+    entries: Vec<EndpointEntry>,
+    /// Positions of endpoints that have been removed and that nothing refers to.
+    vacant: Vec<EndpointIndex>,
+    by_id: FxHashMap<EndpointId, EndpointIndex>,
+    names: EndpointNames,
+    /// Sum of the weights of endpoints in service.
+    total_weight: f64,
+}
+
+impl EndpointTable {
+    /// How many positions there are, vacant ones included.
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// All positions, vacant ones included.
+    pub fn indices(&self) -> impl DoubleEndedIterator<Item = EndpointIndex> + use<> {
+        (0..self.entries.len()).map(EndpointIndex::new)
+    }
+
+    /// All records, those of vacant positions included.
+    pub fn iter(&self) -> impl Iterator<Item = &EndpointEntry> {
+        self.entries.iter()
+    }
+
+    /// All records with their positions.
+    pub fn iter_indexed(&self) -> impl Iterator<Item = (EndpointIndex, &EndpointEntry)> {
+        self.entries.iter().enumerate().map(|(position, entry)| (EndpointIndex::new(position), entry))
+    }
+
+    /// All records, to be changed.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut EndpointEntry> {
+        self.entries.iter_mut()
+    }
+
+    /// Records of endpoints that may be sent requests as far as discovery and operators say.
+    pub fn in_service(&self) -> impl Iterator<Item = &EndpointEntry> {
+        self.entries.iter().filter(|entry| entry.is_in_service())
+    }
+
+    /// Where the record of an endpoint is.
+    pub fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
+        self.by_id.get(&id).copied()
+    }
+
+    /// The endpoint that a gossip message refers to by that name.
+    pub fn find_by_gossip_name(&self, name: u16) -> Option<EndpointIndex> {
+        self.names.owner(name)
+    }
+
+    /// An endpoint's part of the weight of all that are in service.
+    pub fn total_weight(&self) -> f64 {
+        self.total_weight
+    }
+
+    /// Records the entries of a list. Returns their endpoints, and with a complete list those that it removes too.
+    pub fn record_list(
+        &mut self, now: Millis, complete: bool, entries: Vec<Endpoint>, classes: usize,
+        overrides: &mut OperatorOverrides,
+    ) -> Vec<EndpointIndex> {
+        let mut recorded: Vec<EndpointIndex> =
+            entries.into_iter().map(|entry| self.record(now, entry, classes, overrides)).collect();
+        if complete {
+            self.remove_unlisted(now, &mut recorded);
+        }
+        if self.names.is_outdated() {
+            self.names.assign(&self.by_id, &mut self.entries);
+        }
+        let weights = self.in_service().map(|entry| entry.listed.weight);
+        self.total_weight = weights.sum::<f64>().max(MIN_TOTAL_WEIGHT);
+        recorded
+    }
+
+    fn record(
+        &mut self, now: Millis, mut listed: Endpoint, classes: usize, overrides: &mut OperatorOverrides,
+    ) -> EndpointIndex {
+        listed.weight = if listed.weight.is_finite() && listed.weight > 0.0 { listed.weight } else { 1.0 };
+        let known = self.find(listed.id);
+        let was_listed = known.is_some_and(|endpoint| self[endpoint].is_listed());
+        if was_listed != (listed.state != EndpointState::Removed) {
+            self.names.mark_outdated();
+        }
+        let endpoint = known.unwrap_or_else(|| self.insert(EndpointEntry::new(listed.clone(), classes, now)));
+        listed.started_at = overrides.started_at(&listed);
+        let in_service = listed.state == EndpointState::Up && !overrides.is_in_maintenance(listed.id);
+        let entry = &mut self[endpoint];
+        entry.draining_since = if in_service { None } else { entry.draining_since.or(Some(now)) };
+        entry.restarted |= entry.listed.started_at != listed.started_at
+            || listed.started_at.is_some() && !entry.slow_start.is_active();
+        entry.machine_class = MachineClassIndex::of(listed.machine_class);
+        entry.listed = listed;
+        endpoint
+    }
+
+    fn insert(&mut self, entry: EndpointEntry) -> EndpointIndex {
+        let id = entry.listed.id;
+        let endpoint = match self.vacant.pop() {
+            Some(vacant) => {
+                self[vacant] = entry;
+                vacant
+            }
+            None => {
+                self.entries.push(entry);
+                EndpointIndex::new(self.entries.len() - 1)
+            }
+        };
+        self.by_id.insert(id, endpoint);
+        endpoint
+    }
+
+    /// Marks all endpoints that are not among `recorded` as removed, and adds them there.
+    fn remove_unlisted(&mut self, now: Millis, recorded: &mut Vec<EndpointIndex>) {
+        let mut unlisted = vec![true; self.entries.len()];
+        for endpoint in recorded.iter() {
+            unlisted[endpoint.as_usize()] = false;
+        }
+        for endpoint in self.indices().filter(|endpoint| unlisted[endpoint.as_usize()]) {
+            let entry = &mut self.entries[endpoint.as_usize()];
+            if entry.is_listed() {
+                self.names.mark_outdated();
+            }
+            entry.draining_since = entry.draining_since.or(Some(now));
+            entry.listed.state = EndpointState::Removed;
+            recorded.push(endpoint);
+        }
+    }
+
+    /// Endpoints whose records can be given up: removed, without attempts and waiting requests, and not among those
+    /// that others refer to. Endpoints come and go for as long as the process runs.
+    pub fn reclaimable(&self, referred_to: impl Iterator<Item = EndpointIndex>) -> Vec<EndpointIndex> {
+        let is_unused =
+            |entry: &EndpointEntry| !entry.is_listed() && entry.load.own == 0 && entry.affinity.pending == 0;
+        let mut reclaimable: Vec<bool> = self.entries.iter().map(is_unused).collect();
+        for endpoint in self.vacant.iter().copied().chain(referred_to) {
+            reclaimable[endpoint.as_usize()] = false;
+        }
+        self.indices().filter(|endpoint| reclaimable[endpoint.as_usize()]).collect()
+    }
+
+    /// Gives up an endpoint's record; its position is used for the next new endpoint.
+    pub fn reclaim(&mut self, endpoint: EndpointIndex) {
+        let entry = &mut self.entries[endpoint.as_usize()];
+        self.by_id.remove(&entry.listed.id);
+        self.names.release(entry);
+        self.vacant.push(endpoint);
+    }
+}
+
+impl Index<EndpointIndex> for EndpointTable {
+    type Output = EndpointEntry;
+
+    fn index(&self, endpoint: EndpointIndex) -> &EndpointEntry {
+        &self.entries[endpoint.as_usize()]
+    }
+}
+
+impl IndexMut<EndpointIndex> for EndpointTable {
+    fn index_mut(&mut self, endpoint: EndpointIndex) -> &mut EndpointEntry {
+        &mut self.entries[endpoint.as_usize()]
+    }
+}
--- /dev/null
+++ b/crates/core/src/estimators/arrivals.rs
@@ -0,0 +1,48 @@
+//! The rate at which requests arrive.
+
+use crate::ids::Millis;
+use crate::schedule::TICK;
+
+/// Duration over which the rate is averaged.
+const AVERAGING_TIME: Millis = 2000.0;
+/// Shortest duration over which arrivals are counted before they are added to the average.
+const MIN_COUNTING_TIME: Millis = 10.0 * TICK;
+
+/// An exponentially weighted moving average of the arrival rate.
+#[derive(Default)]
+pub(crate) struct ArrivalRate {
+    /// Arrivals since the last update.
+    count: f64,
+    updated_at: Millis,
+    per_ms: f64,
+}
+
+impl ArrivalRate {
+    /// Starts to count.
+    pub fn start(&mut self, now: Millis) {
+        self.updated_at = now;
+    }
+
+    /// Counts a request.
+    pub fn record(&mut self) {
+        self.count += 1.0;
+    }
+
+    /// Requests per millisecond.
+    pub fn per_ms(&self) -> f64 {
+        self.per_ms
+    }
+
+    /// Adds what has been counted to the average, if it covers long enough a time.
+    pub fn update(&mut self, now: Millis) {
+        let elapsed = now - self.updated_at;
+        if elapsed < MIN_COUNTING_TIME {
+            return;
+        }
+        let is_first = self.per_ms == 0.0;
+        let gain = if is_first { 1.0 } else { 1.0 - (-elapsed / AVERAGING_TIME).exp() };
+        self.per_ms += gain * (self.count / elapsed - self.per_ms);
+        self.count = 0.0;
+        self.updated_at = now;
+    }
+}
--- /dev/null
+++ b/crates/core/src/estimators/mod.rs
@@ -0,0 +1,15 @@
+//! Running estimates that decisions rest on.
+
+mod affinity;
+mod arrivals;
+mod latency;
+mod request_cost;
+
+pub(crate) use arrivals::ArrivalRate;
+pub(crate) use latency::{HANG_FACTOR, LatencyModel, LatencySample};
+pub(crate) use request_cost::RequestCosts;
+
+/// Lower bound of a relative latency that is divided by.
+const MIN_RELATIVE_LATENCY: f64 = 0.05;
+/// Upper bound of a sample relative to its expected value.
+const MAX_RELATIVE_SAMPLE: f64 = 20.0;
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -2,8 +2,6 @@
 //!
 //! Each invariant has one guard where the step can't be undone, in the core for decisions and at the socket for bytes.
 //! What passes a guard and breaks the invariant is counted beside it: such a count is a fault of this program.
-use crate::interface::*;
-use crate::state::Balancer;
 
 /// A rule about a proxy's own conduct.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -81,33 +79,3 @@
         self.0.iter().sum()
     }
 }
-
-impl Balancer {
-    /// The guard of every send: which invariant it would break.
-    pub(crate) fn broken_by_send(&self, now: Millis, id: RequestId, k: usize) -> Option<Invariant> {
-        let Some(r) = self.requests.get(&id).filter(|r| !r.done) else { return Some(Invariant::RequestOpen) };
-        let s = &self.servers[k];
-        let repeats_where_dropped = || match self.bound(r) {
-            Some((first, group, until)) => now < until && s.drops_repeats_of(&self.servers[first], group),
-            None => self.cfg.classes[r.class].idempotency == Idempotency::Always || !r.may_have_run(),
-        };
-        if s.told.is_some() {
-            Some(Invariant::BackendInService)
-        } else if now >= self.list_valid_until() {
-            Some(Invariant::ListCurrent)
-        } else if r.running() {
-            Some(Invariant::SingleAttempt)
-        } else if !repeats_where_dropped() {
-            Some(Invariant::RepeatAllowed)
-        } else if s.fresh && s.warmth < 1.0 && s.tokens < 1.0 {
-            Some(Invariant::SlowStart)
-        } else {
-            None
-        }
-    }
-
-    /// How often a decision broke an invariant; none was carried out.
-    pub fn violations(&self) -> &Violations {
-        &self.violations
-    }
-}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -14,49 +14,48 @@
 
 mod actions;
 mod balancer;
-mod bands;
 mod decision;
+mod discovery;
 mod endpoint;
 mod endpoint_status;
-mod estimates;
+mod endpoints;
+mod estimators;
 mod events;
-mod gauges;
-mod handover;
+mod gossip;
+mod hash;
 mod ids;
-mod interface;
 mod invariant;
 mod learned_state;
-mod listing;
-mod message;
+mod limits;
+mod machine_class;
 pub mod names;
-mod number;
-mod operators;
+mod operator_overrides;
 mod outcomes;
-mod overlay;
-mod policy;
-mod records;
+mod outlier_detector;
+mod outlier_record;
+mod reconfigure;
+mod requests;
+mod schedule;
 pub mod settings;
-mod state;
-mod subscription;
+mod slow_start;
+mod threshold;
 mod weighted_mean;
-mod wire_names;
 
 pub use actions::{Action, CancelReason, RejectionReason};
+pub use balancer::{Balancer, Gauges};
 pub use decision::{Decision, DecisionCounts};
 pub use endpoint::{Endpoint, EndpointState, ListScope};
 pub use endpoint_status::EndpointStatus;
 pub use events::{CallEnd, DiscoveryEvent, Event, Reconfiguration, UploadStage};
-pub use gauges::Gauges;
 pub use ids::{
     AffinityKey, CallId, CellId, ClassId, EndpointId, MachineClassId, Millis, RequestId, TenantId, ZoneId,
 };
 pub use invariant::{Invariant, Violations};
 pub use learned_state::{LearnedState, MachineClassState, MaintenanceReturn};
 pub use outcomes::Outcome;
-pub use policy::threshold::threshold;
 pub use settings::{
     DeduplicationScope, DiscoveryMode, Idempotency, Limits, NotificationBounds, Prices, RequestClass,
     Settings, Tenant, WeightMeaning,
 };
-pub use state::Balancer;
+pub use threshold::threshold;
 pub use weighted_mean::WeightedMean;
--- /dev/null
+++ b/crates/core/src/outlier_detector.rs
@@ -0,0 +1,128 @@
+//! Outlier detection: what is common to all endpoints, and whether ejections are believed.
+
+use crate::endpoints::{EndpointEntry, EndpointTable};
+use crate::gossip::REPORT_EXPIRY;
+use crate::ids::Millis;
+use crate::outlier_record::FailureRateLimits;
+
+/// Failure rate above which an endpoint is ejected.
+const MAX_FAILURE_RATE: f64 = 0.4;
+/// The limit is at least so many times the median failure rate...
+const MEDIAN_FACTOR: f64 = 3.0;
+/// ...up to this bound.
+const MAX_LIMIT: f64 = 0.85;
+/// With more than this part ejected, as a whole or for a class, ejections are ignored.
+pub(crate) const PANIC_THRESHOLD: f64 = 0.9;
+/// The same with more than this part, if as few attempts are served.
+const PANIC_THRESHOLD_UNDER_FAILURES: f64 = 0.5;
+/// Attempts over which the success rate is averaged.
+const SUCCESS_SAMPLES: f64 = 100.0;
+/// Reports of other proxies from which on an endpoint is avoided.
+const MIN_REPORTS: u32 = 2;
+
+/// What is common to all endpoints, against which each is judged.
+pub(crate) struct OutlierDetector {
+    median_failure_rate: f64,
+    median_failure_rate_by_class: Vec<f64>,
+    /// The part of the endpoints that is ejected for a class alone.
+    ejected_fraction_by_class: Vec<f64>,
+    /// So many endpoints look unhealthy that ejections are ignored.
+    panic_mode: bool,
+    /// Running mean of attempts that were served.
+    success_rate: f64,
+}
+
+impl OutlierDetector {
+    pub fn new(classes: usize) -> Self {
+        OutlierDetector {
+            median_failure_rate: 0.0,
+            median_failure_rate_by_class: vec![0.0; classes],
+            ejected_fraction_by_class: vec![0.0; classes],
+            panic_mode: false,
+            success_rate: 1.0,
+        }
+    }
+
+    /// Whether so many endpoints look unhealthy that ejections are ignored.
+    pub fn is_in_panic_mode(&self) -> bool {
+        self.panic_mode
+    }
+
+    /// The part of the endpoints that is ejected for a class alone.
+    pub fn ejected_fraction(&self, class: usize) -> f64 {
+        self.ejected_fraction_by_class[class]
+    }
+
+    /// Whether ejections for a class count; they are ignored where nearly all endpoints are ejected for it.
+    pub fn believes_class_ejections(&self, class: usize) -> bool {
+        self.ejected_fraction_by_class[class] <= PANIC_THRESHOLD
+    }
+
+    /// Counts the end of an attempt.
+    pub fn record_attempt(&mut self, served: bool) {
+        self.success_rate += (f64::from(u8::from(served)) - self.success_rate) / SUCCESS_SAMPLES;
+    }
+
+    /// The failure rates above which an endpoint is ejected.
+    pub fn limits(&self, class: usize) -> FailureRateLimits {
+        FailureRateLimits {
+            overall: self.limit(self.median_failure_rate),
+            of_class: self.limit(self.median_failure_rate_by_class[class]),
+        }
+    }
+
+    /// The failure rate above which an endpoint is ejected. What affects all alike is no fault of one: ejected for it
+    /// one by one, they would leave none to serve. Nor do two failures in a row tell an outlier where some fail
+    /// everywhere.
+    fn limit(&self, median_failure_rate: f64) -> f64 {
+        let common = MEDIAN_FACTOR * (1.0 - self.success_rate);
+        (MAX_FAILURE_RATE + common).max(MEDIAN_FACTOR * median_failure_rate).min(MAX_LIMIT)
+    }
+
+    /// Whether an endpoint may be sent anything at all at present.
+    pub fn is_usable(&self, entry: &EndpointEntry, now: Millis) -> bool {
+        let record = &entry.outlier;
+        let is_reported =
+            entry.outlier_reports >= MIN_REPORTS && now - record.last_response_at() > REPORT_EXPIRY;
+        let is_unhealthy = record.is_ejected(now) || is_reported;
+        // Panic mode opens endpoints that look unhealthy, not those that merely have no capacity left.
+        let is_ignored = self.panic_mode && !record.is_rejecting();
+        entry.is_in_service() && (!is_unhealthy || is_ignored)
+    }
+
+    /// Computes the common figures anew.
+    pub fn review(&mut self, endpoints: &EndpointTable, now: Millis) {
+        let in_service: Vec<&EndpointEntry> = endpoints.in_service().collect();
+        let overall = in_service.iter().map(|entry| entry.outlier.failure_rate());
+        self.median_failure_rate = median(overall.collect());
+        for (class, rate) in self.median_failure_rate_by_class.iter_mut().enumerate() {
+            let rates = in_service.iter().map(|entry| entry.outlier.failure_rate_of_class(class));
+            *rate = median(rates.collect());
+        }
+        let count = in_service.len() as f64 + 0.01; // no division by zero
+        for (class, fraction) in self.ejected_fraction_by_class.iter_mut().enumerate() {
+            let ejected =
+                in_service.iter().filter(|entry| entry.outlier.is_ejected_for_class(class, now)).count();
+            *fraction = ejected as f64 / count;
+        }
+        let looks_unhealthy =
+            |entry: &&&EndpointEntry| entry.outlier.is_ejected(now) && !entry.outlier.is_rejecting();
+        let unhealthy = in_service.iter().filter(looks_unhealthy).count() as f64;
+        self.panic_mode = unhealthy > PANIC_THRESHOLD * count
+            || unhealthy > PANIC_THRESHOLD_UNDER_FAILURES * count
+                && self.success_rate < PANIC_THRESHOLD_UNDER_FAILURES;
+    }
+
+    /// Takes other request classes; each inherits the figures of the one that is named for it.
+    pub fn reconfigure(&mut self, inherits_from: &[Option<usize>]) {
+        self.ejected_fraction_by_class =
+            crate::reconfigure::inherit(&self.ejected_fraction_by_class, inherits_from, |_| 0.0);
+        self.median_failure_rate_by_class =
+            crate::reconfigure::inherit(&self.median_failure_rate_by_class, inherits_from, |_| 0.0);
+    }
+}
+
+fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
+}
--- /dev/null
+++ b/crates/core/src/schedule.rs
@@ -0,0 +1,46 @@
+//! When periodic work is due.
+
+use crate::endpoints::EndpointIndex;
+use crate::ids::Millis;
+
+/// How often waiting and running requests are examined: within the slack of the rules on deadlines.
+pub(crate) const TICK: Millis = 20.0;
+/// Ticks between reviews of all endpoints.
+const TICKS_PER_REVIEW: u64 = 5;
+/// Time between reviews of all endpoints.
+pub(crate) const REVIEW_INTERVAL: Millis = TICKS_PER_REVIEW as f64 * TICK;
+/// Endpoints are resized in turn, one of so many in each review, as slots change slowly.
+const RESIZE_TURNS: u64 = 8;
+
+/// Counts the ticks of the periodic timer.
+#[derive(Default)]
+pub(crate) struct Schedule {
+    ticks: u64,
+}
+
+impl Schedule {
+    /// Whether the first event has been handled.
+    pub fn is_started(&self) -> bool {
+        self.ticks > 0
+    }
+
+    /// Counts a tick; the start of the process counts as the first.
+    pub fn advance(&mut self) {
+        self.ticks += 1;
+    }
+
+    /// Whether all endpoints are to be reviewed with this tick.
+    pub fn is_review_due(&self) -> bool {
+        self.ticks.is_multiple_of(TICKS_PER_REVIEW)
+    }
+
+    /// The number of the current review interval. Choices by hash are drawn anew in each.
+    pub fn epoch(&self) -> u64 {
+        self.ticks / TICKS_PER_REVIEW
+    }
+
+    /// Whether it is an endpoint's turn to be resized in this review.
+    pub fn is_resize_turn(&self, endpoint: EndpointIndex) -> bool {
+        endpoint.as_usize() as u64 % RESIZE_TURNS == self.epoch() % RESIZE_TURNS
+    }
+}
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,67 +1,92 @@
-//! The decisions are printed and read on call: they stay short and narrow, and keep to what they may know.
+//! Limits on the source of the core: files stay short and narrow, and keep to what they may know.
 use std::path::{Path, PathBuf};
 
+/// Lines of a source file at most.
+const MAX_LINES: usize = 300;
+/// Characters of a line at most.
+const MAX_COLUMNS: usize = 120;
+/// Files and folders of the core that hold its interface and no decision.
+const INTERFACE: [&str; 11] = [
+    "actions.rs",
+    "decision.rs",
+    "endpoint.rs",
+    "endpoint_status.rs",
+    "events.rs",
+    "ids.rs",
+    "learned_state.rs",
+    "lib.rs",
+    "names.rs",
+    "outcomes.rs",
+    "settings",
+];
+
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The files that decide, as the deploy file names them, and their texts.
-fn policy() -> Vec<(String, String)> {
+/// All source files of the core, relative to its source folder, with their text.
+fn sources() -> Vec<(String, String)> {
+    let source = root().join("crates/core/src");
+    let mut folders = vec![source.clone()];
+    let mut sources = Vec::new();
+    while let Some(folder) = folders.pop() {
+        for path in std::fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path()) {
+            if path.is_dir() {
+                folders.push(path);
+                continue;
+            }
+            let name = path.strip_prefix(&source).unwrap().to_str().unwrap().to_owned();
+            sources.push((name, std::fs::read_to_string(&path).unwrap()));
+        }
+    }
+    assert!(sources.len() > 15, "{} files", sources.len());
+    sources
+}
+
+/// The files that decide, as the deploy file names them.
+fn policy() -> Vec<String> {
     let deploy: toml::Table =
         std::fs::read_to_string(root().join("deploy/balancer.toml")).unwrap().parse().unwrap();
     let names = deploy["policy"].as_array().expect("a list").iter();
-    let read = |name: &toml::Value| {
-        let name = name.as_str().expect("a path").to_owned();
-        let text = std::fs::read_to_string(root().join(&name)).unwrap();
-        (name, text)
-    };
-    names.map(read).collect()
+    names.map(|name| name.as_str().expect("a path").to_owned()).collect()
 }
 
 #[test]
-fn the_decisions_stay_short_and_narrow() {
-    let files = policy();
-    let lines = files.iter().flat_map(|f| f.1.lines()).filter(|l| !l.trim().is_empty()).count();
-    assert!(lines <= 1200, "{lines} lines");
-    for (name, text) in files {
+fn source_files_stay_short_and_narrow() {
+    for (name, text) in sources() {
+        let lines = text.lines().count();
+        assert!(lines <= MAX_LINES, "{name}: {lines} lines");
         for (n, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= 120, "{name}, line {}: {} columns", n + 1, line.chars().count());
+            let columns = line.chars().count();
+            assert!(columns <= MAX_COLUMNS, "{name}, line {}: {columns} columns", n + 1);
         }
     }
 }
 
 #[test]
-fn the_deploy_file_names_every_file_that_decides() {
-    let named: Vec<String> = policy().into_iter().map(|f| f.0).collect();
-    for file in std::fs::read_dir(root().join("crates/core/src/policy")).unwrap() {
-        let file = format!("crates/core/src/policy/{}", file.unwrap().file_name().to_str().unwrap());
-        assert!(named.contains(&file), "{file} is not in the policy list");
-    }
+fn deploy_file_names_every_file_that_decides() {
+    let mut deciding: Vec<String> = sources()
+        .into_iter()
+        .map(|(name, _)| name)
+        .filter(|name| !INTERFACE.contains(&name.split('/').next().expect("a first part")))
+        .map(|name| format!("crates/core/src/{name}"))
+        .collect();
+    deciding.sort();
+    let mut named = policy();
+    named.sort();
+    assert_eq!(named, deciding);
 }
 
 #[test]
-fn no_clock_thread_global_or_input() {
-    let mut folders = vec![root().join("crates/core/src")];
-    let mut seen = 0;
-    while let Some(folder) = folders.pop() {
-        for path in std::fs::read_dir(folder).unwrap().map(|e| e.unwrap().path()) {
-            if path.is_dir() {
-                folders.push(path);
-                continue;
-            }
-            let text = std::fs::read_to_string(&path).unwrap();
-            seen += 1;
-            let declares = |line: &str| {
-                let line = line.trim_start().trim_start_matches("pub(crate) ").trim_start_matches("pub ");
-                line.starts_with("static ") || line.contains("thread_local!")
-            };
-            assert!(!text.lines().any(declares), "a static in {}", path.display());
-            for word in
-                ["std::time", "std::thread", "std::io", "std::env", "std::net", "println!", "unsafe {"]
-            {
-                assert!(!text.contains(word), "{word} in {}", path.display());
-            }
+fn core_has_no_clock_thread_global_or_input() {
+    for (name, text) in sources() {
+        let declares = |line: &str| {
+            let line = line.trim_start().trim_start_matches("pub(crate) ").trim_start_matches("pub ");
+            line.starts_with("static ") || line.contains("thread_local!")
+        };
+        assert!(!text.lines().any(declares), "a static in {name}");
+        for word in ["std::time", "std::thread", "std::io", "std::env", "std::net", "println!", "unsafe {"] {
+            assert!(!text.contains(word), "{word} in {name}");
         }
     }
-    assert!(seen > 15, "{seen} files");
 }
