--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings for tests, a checker of the four rules, and a small world that drives a Balancer.
+//! Settings for tests, a checker of the four rules, and a harness that drives a Balancer.
 #![allow(dead_code)] // each test file uses its own part
 use leadrelay_core::*;
 use std::collections::{BTreeMap, HashMap};
@@ -49,7 +49,7 @@
     }
 }
 
-pub fn server(id: u64) -> Endpoint {
+pub fn endpoint(id: u64) -> Endpoint {
     Endpoint {
         id: EndpointId(id),
         zone: Some(ZoneId(0)),
@@ -82,25 +82,25 @@
 }
 
 /// A Balancer whose timers are kept and fired by hand.
-pub struct Hand {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
     timers: Vec<(Millis, u64)>,
 }
 
-impl Hand {
-    pub fn new(settings: Settings, servers: Vec<Endpoint>) -> Self {
-        Hand::seeded(settings, servers, 7)
+impl Harness {
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        Harness::seeded(settings, endpoints, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Endpoint>, seed: u64) -> Self {
-        let mut hand = Hand { balancer: Balancer::new(settings, seed), now: 1000.0, timers: vec![] };
-        hand.give(full(servers));
-        hand
+    pub fn seeded(settings: Settings, endpoints: Vec<Endpoint>, seed: u64) -> Self {
+        let mut harness = Harness { balancer: Balancer::new(settings, seed), now: 1000.0, timers: vec![] };
+        harness.handle(full(endpoints));
+        harness
     }
 
     /// Hands in an event at the present time; returns what is to be done, timers aside.
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
         for action in &out {
@@ -113,7 +113,7 @@
     }
 
     /// Lets time pass with nothing but timers.
-    pub fn pass(&mut self, span: Millis) -> Vec<Action> {
+    pub fn advance(&mut self, span: Millis) -> Vec<Action> {
         let end = self.now + span;
         let mut out = vec![];
         while let Some(i) =
@@ -124,29 +124,29 @@
             }
             let (at, token) = self.timers.swap_remove(i);
             self.now = self.now.max(at);
-            out.extend(self.give(Event::Timer(token)));
+            out.extend(self.handle(Event::Timer(token)));
         }
         self.now = end;
         out
     }
 
-    /// Serves unsafe requests, one every `every` ms for `span` ms; `latency` of one depends on its server and on
-    /// how many are there already. Returns request and server of each send, and the servers of those still out.
-    pub fn drive(
+    /// Serves requests that must not be repeated, one every `every` ms for `span` ms; `latency` of one depends on its endpoint and on
+    /// how many are there already. Returns request and endpoint of each send, and the endpoints of those still in flight.
+    pub fn serve_open_loop(
         &mut self, span: u64, every: u64, latency: impl Fn(u64, usize) -> Millis,
     ) -> (Vec<(u64, u64)>, Vec<u64>) {
         let mut all = vec![];
         let mut out: Vec<(u64, u64, Millis, Millis)> = vec![]; // until when, and its latency
         for step in 0..span {
-            let mut actions = self.pass(1.0);
+            let mut actions = self.advance(1.0);
             if step % every == 0 {
-                actions.extend(self.give(request(1000 + step, 1, 3000.0)));
+                actions.extend(self.handle(request(1000 + step, 1, 3000.0)));
             }
             let now = self.now;
             let (over, still) = out.into_iter().partition::<Vec<_>, _>(|o| o.2 <= now);
             out = still;
             for (id, _, _, latency) in over {
-                actions.extend(self.give(ended(id, 0, latency, Outcome::Served)));
+                actions.extend(self.handle(ended(id, 0, latency, Outcome::Served)));
             }
             for (id, to) in sends(&actions) {
                 let latency = latency(to, out.iter().filter(|o| o.1 == to).count());
@@ -157,21 +157,21 @@
         (all, out.iter().map(|o| o.1).collect())
     }
 
-    /// Serves requests one after the other, each in `latency(server)`, so that speeds are learnt.
-    pub fn train(&mut self, first: u64, count: u64, latency: impl Fn(u64) -> Millis) {
+    /// Serves requests one after the other, each in `latency(endpoint)`, so that speeds are learned.
+    pub fn serve_in_turn(&mut self, first: u64, count: u64, latency: impl Fn(u64) -> Millis) {
         for id in first..first + count {
-            let sent = sends(&self.give(request(id, 0, 2000.0)));
+            let sent = sends(&self.handle(request(id, 0, 2000.0)));
             let Some(&(_, to)) = sent.first() else {
-                self.pass(2100.0);
+                self.advance(2100.0);
                 continue;
             };
-            self.pass(latency(to));
-            self.give(ended(id, 0, latency(to), Outcome::Served));
+            self.advance(latency(to));
+            self.handle(ended(id, 0, latency(to), Outcome::Served));
         }
     }
 }
 
-/// Request and server of each send.
+/// Request and endpoint of each send.
 pub fn sends(actions: &[Action]) -> Vec<(u64, u64)> {
     let pick = |a: &Action| match a {
         Action::Send { request, endpoint, .. } => Some((request.0, endpoint.0)),
@@ -181,15 +181,15 @@
 }
 
 struct Sent {
-    server: u64,
+    endpoint: u64,
     at: Millis,
     over: bool,
     ran: bool,
 }
 
-struct Owed {
+struct OpenRequest {
     class: usize,
-    due: Millis,
+    deadline: Millis,
     sent: Vec<Sent>,
     answered: bool,
 }
@@ -197,8 +197,8 @@
 /// Watches every event and action of one proxy and notes each breach of the four rules.
 pub struct Checker {
     settings: Settings,
-    servers: HashMap<u64, (Endpoint, Option<Millis>)>,
-    owed: BTreeMap<u64, Owed>,
+    endpoints: HashMap<u64, (Endpoint, Option<Millis>)>,
+    open: BTreeMap<u64, OpenRequest>,
     cold: HashMap<u64, Vec<Millis>>,
     pub work: Millis,
     pub breaches: Vec<String>,
@@ -206,14 +206,14 @@
 
 impl Checker {
     pub fn new(settings: Settings, work: Millis) -> Self {
-        let (servers, owed, cold, breaches) = Default::default();
-        Checker { settings, servers, owed, cold, work, breaches }
+        let (endpoints, open, cold, breaches) = Default::default();
+        Checker { settings, endpoints, open, cold, work, breaches }
     }
 
     /// The proxy was killed: nothing is owed any more.
     pub fn restart(&mut self) {
-        self.owed.clear();
-        self.servers.clear();
+        self.open.clear();
+        self.endpoints.clear();
     }
 
     fn breach(&mut self, now: Millis, text: String) {
@@ -225,15 +225,15 @@
             Event::List { scope: ListScope::Failed, .. } => {}
             Event::List { scope, entries } => {
                 for e in entries {
-                    let old = self.servers.get(&e.id.0).and_then(|s| s.1);
-                    let told = if e.state == EndpointState::Up { None } else { old.or(Some(now)) };
-                    if self.servers.get(&e.id.0).is_some_and(|s| s.0.started_at != e.started_at) {
+                    let old = self.endpoints.get(&e.id.0).and_then(|s| s.1);
+                    let draining_since = if e.state == EndpointState::Up { None } else { old.or(Some(now)) };
+                    if self.endpoints.get(&e.id.0).is_some_and(|s| s.0.started_at != e.started_at) {
                         self.cold.remove(&e.id.0); // a new process has its own budget
                     }
-                    self.servers.insert(e.id.0, (e.clone(), told));
+                    self.endpoints.insert(e.id.0, (e.clone(), draining_since));
                 }
                 if *scope == ListScope::Full {
-                    for (id, s) in &mut self.servers {
+                    for (id, s) in &mut self.endpoints {
                         if !entries.iter().any(|e| e.id.0 == *id) {
                             s.1 = s.1.or(Some(now));
                         }
@@ -241,11 +241,12 @@
                 }
             }
             Event::Request { id, class, timeout, .. } => {
-                let owed = Owed { class: class.0, due: now + timeout, sent: vec![], answered: false };
-                self.owed.insert(id.0, owed);
+                let open =
+                    OpenRequest { class: class.0, deadline: now + timeout, sent: vec![], answered: false };
+                self.open.insert(id.0, open);
             }
             Event::Ended { request, attempt, outcome, finished, .. } => {
-                if let Some(o) = self.owed.get_mut(&request.0) {
+                if let Some(o) = self.open.get_mut(&request.0) {
                     o.answered |= finished;
                     if let Some(s) = o.sent.get_mut(*attempt as usize) {
                         (s.over, s.ran) = (true, outcome.may_have_run());
@@ -253,7 +254,7 @@
                 }
             }
             Event::ClientClosed(id) => {
-                if let Some(o) = self.owed.get_mut(&id.0) {
+                if let Some(o) = self.open.get_mut(&id.0) {
                     o.answered = true;
                 }
             }
@@ -265,8 +266,8 @@
         match action {
             Action::Send { request, endpoint, .. } => self.sent(now, request.0, endpoint.0),
             Action::Reject { request, .. } => {
-                let Some(o) = self.owed.get(&request.0) else {
-                    return self.breach(now, format!("refused {request:?}, which is not held"));
+                let Some(o) = self.open.get(&request.0) else {
+                    return self.breach(now, format!("rejected {request:?}, which is not held"));
                 };
                 let ran = o.sent.iter().any(|s| !s.over || s.ran);
                 let allowed = match self.settings.classes[o.class].idempotency {
@@ -274,7 +275,7 @@
                     _ => !ran,
                 };
                 if !allowed {
-                    self.breach(now, format!("refused {request:?}, which may have run"));
+                    self.breach(now, format!("rejected {request:?}, which may have run"));
                 }
                 self.answered(now, request.0);
             }
@@ -284,7 +285,7 @@
     }
 
     fn answered(&mut self, now: Millis, id: u64) {
-        match self.owed.get_mut(&id) {
+        match self.open.get_mut(&id) {
             Some(o) if !o.answered => o.answered = true,
             _ => self.breach(now, format!("a second answer for {id}")),
         }
@@ -292,13 +293,13 @@
 
     fn sent(&mut self, now: Millis, id: u64, to: u64) {
         let limits = self.settings.limits;
-        let Some((server, told)) = self.servers.get(&to).cloned() else {
+        let Some((endpoint, draining_since)) = self.endpoints.get(&to).cloned() else {
             return self.breach(now, format!("sent to {to}, which no list named"));
         };
-        if told.is_some_and(|t| now > t) {
+        if draining_since.is_some_and(|t| now > t) {
             self.breach(now, format!("sent to {to}, told to drain or gone"));
         }
-        let Some(o) = self.owed.get(&id) else {
+        let Some(o) = self.open.get(&id) else {
             return self.breach(now, format!("sent {id}, which is not held"));
         };
         let idempotency = self.settings.classes[o.class].idempotency;
@@ -317,11 +318,11 @@
         match (idempotency, ran) {
             (Idempotency::Never, Some(_)) => wrong.push("again though it must never run twice"),
             (Idempotency::WithKey { scope, window }, Some(first)) => {
-                let other = &self.servers[&first.server].0;
+                let other = &self.endpoints[&first.endpoint].0;
                 let same = match scope {
                     DeduplicationScope::All => true,
-                    DeduplicationScope::Zone => other.zone == server.zone,
-                    DeduplicationScope::Cell => other.cell == server.cell,
+                    DeduplicationScope::Zone => other.zone == endpoint.zone,
+                    DeduplicationScope::Cell => other.cell == endpoint.cell,
                 };
                 if !same {
                     wrong.push("outside the group that drops its repeat");
@@ -334,15 +335,15 @@
         }
         let texts: Vec<String> = wrong.iter().map(|w| format!("sent {id} {w}")).collect();
         texts.into_iter().for_each(|t| self.breach(now, t));
-        self.owed.get_mut(&id).unwrap().sent.push(Sent { server: to, at: now, over: false, ran: true });
-        if let Some(started_at) = server.started_at.filter(|s| now - s < limits.slow_start_window) {
+        self.open.get_mut(&id).unwrap().sent.push(Sent { endpoint: to, at: now, over: false, ran: true });
+        if let Some(started_at) = endpoint.started_at.filter(|s| now - s < limits.slow_start_window) {
             let sent = self.cold.entry(to).or_default();
             sent.push(now);
             sent.retain(|t| *t > now - limits.overload_window);
             // If every proxy did the same: sure capacity over the window, plus one request each for chance.
             let age = ((now - started_at) / limits.slow_start_window).clamp(0.0, 1.0);
             let part = limits.initial_capacity + (1.0 - limits.initial_capacity) * age;
-            let budget = limits.overload_multiple * part * server.weight * limits.overload_window;
+            let budget = limits.overload_multiple * part * endpoint.weight * limits.overload_window;
             let alike = f64::from(self.settings.proxies);
             let push = (sent.len() as f64 - 1.0) * alike * self.work;
             if push > budget {
@@ -351,15 +352,29 @@
         }
     }
 
-    /// Looks for answers overdue.
-    pub fn look(&mut self, now: Millis) {
+    /// Looks for overdue answers.
+    pub fn check_deadlines(&mut self, now: Millis) {
         let slack = 20.0;
-        let late: Vec<u64> =
-            self.owed.iter().filter(|(_, o)| !o.answered && now > o.due + slack).map(|(id, _)| *id).collect();
+        let late: Vec<u64> = self
+            .open
+            .iter()
+            .filter(|(_, o)| !o.answered && now > o.deadline + slack)
+            .map(|(id, _)| *id)
+            .collect();
         for id in late {
-            self.owed.get_mut(&id).unwrap().answered = true;
+            self.open.get_mut(&id).unwrap().answered = true;
             self.breach(now, format!("no answer for {id} in time"));
         }
-        self.owed.retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
+        self.open.retain(|_, o| !o.answered || o.sent.iter().any(|s| !s.over));
     }
 }
+
+/// How many requests are rejected or failed.
+pub fn rejections(actions: &[Action]) -> usize {
+    actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
+}
+
+/// Sends `n` requests that must not be repeated; returns which were sent at once.
+pub fn burst(harness: &mut Harness, first: u64, n: u64) -> Vec<(u64, u64)> {
+    (first..first + n).flat_map(|id| sends(&harness.handle(request(id, 1, 3000.0)))).collect()
+}
--- a/crates/core/tests/discovery.rs
+++ b/crates/core/tests/discovery.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn calls_that_fail_are_put_off_ever_longer_with_full_jitter() {
+fn failed_calls_back_off_with_full_jitter() {
     let mut waits: Vec<Vec<f64>> = vec![Vec::new(); 5];
     for seed in 0..400 {
         let mut asking = Asking::new(seed);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_list_makes_the_next_failure_the_first() {
+fn received_list_resets_backoff() {
     for scope in [ListScope::Full, ListScope::Delta] {
         for seed in 0..50 {
             let mut asking = Asking::new(seed);
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -9,7 +9,7 @@
     Message(Vec<u8>),
 }
 
-/// A small random world around one proxy. It is no model of servers: it only makes legal event streams.
+/// A random source of legal events around one proxy. It is no model of endpoints.
 struct World {
     rng: fastrand::Rng,
     now: Millis,
@@ -28,7 +28,7 @@
 impl World {
     fn new(seed: u64, settings: Settings, tamper: fn(&mut Vec<Action>)) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let list = (0..rng.u64(0..14)).map(server).collect();
+        let list = (0..rng.u64(0..14)).map(endpoint).collect();
         World {
             balancer: Balancer::new(settings.clone(), seed),
             checker: Checker::new(settings.clone(), 60.0),
@@ -44,7 +44,7 @@
         }
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.checker.event(self.now, &event);
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
@@ -72,7 +72,7 @@
                 Action::Subscribe { .. } => {
                     let scope = if self.rng.bool() { ListScope::Full } else { ListScope::Failed };
                     let entries = if scope == ListScope::Full { self.list.clone() } else { vec![] };
-                    self.give(Event::List { scope, entries });
+                    self.handle(Event::List { scope, entries });
                 }
             }
         }
@@ -102,7 +102,7 @@
         let mut entries = vec![];
         match self.rng.u32(0..6) {
             0 => {
-                let fresh = Endpoint { started_at: Some(self.now), ..server(100 + self.next) };
+                let fresh = Endpoint { started_at: Some(self.now), ..endpoint(100 + self.next) };
                 self.list.push(fresh.clone());
                 entries.push(fresh);
             }
@@ -118,14 +118,14 @@
                 entries.push(self.list[k].clone());
                 entries.push(self.list[k].clone()); // a repeated line does no harm
             }
-            4 => return self.give(Event::List { scope: ListScope::Failed, entries: vec![] }),
+            4 => return self.handle(Event::List { scope: ListScope::Failed, entries: vec![] }),
             _ => {
                 self.list.retain(|b| b.state != EndpointState::Removed);
                 let entries = self.list.clone();
-                return self.give(full(entries));
+                return self.handle(full(entries));
             }
         }
-        self.give(Event::List { scope: ListScope::Delta, entries });
+        self.handle(Event::List { scope: ListScope::Delta, entries });
     }
 
     fn run(mut self, span: Millis) -> Vec<String> {
@@ -136,7 +136,7 @@
     fn play(&mut self, span: Millis) {
         let end = self.now + span;
         let entries = self.list.clone();
-        self.give(Event::List { scope: ListScope::Cached, entries });
+        self.handle(Event::List { scope: ListScope::Cached, entries });
         let mut arrival = self.now;
         while self.now < end + 4000.0 {
             let first = (0..self.due.len()).min_by(|a, b| self.due[*a].0.total_cmp(&self.due[*b].0));
@@ -150,18 +150,18 @@
                 let (at, due) = self.due.swap_remove(i);
                 self.now = self.now.max(at);
                 match due {
-                    Due::Timer(token) => self.give(Event::Timer(token)),
-                    Due::Message(bytes) => self.give(Event::Gossip { from: 1, bytes }),
+                    Due::Timer(token) => self.handle(Event::Timer(token)),
+                    Due::Message(bytes) => self.handle(Event::Gossip { from: 1, bytes }),
                     Due::Ended(id, attempt, latency, outcome) => {
                         let Some(e) = self.ends.get_mut(&id) else { continue };
                         e.2 |= outcome == Outcome::Served;
                         let finished = e.2;
                         let request = RequestId(id);
-                        self.give(Event::Ended { request, attempt, latency, outcome, finished });
+                        self.handle(Event::Ended { request, attempt, latency, outcome, finished });
                     }
                 }
             }
-            self.checker.look(self.now);
+            self.checker.check_deadlines(self.now);
         }
         self.violations += self.balancer.violations().total();
     }
@@ -177,14 +177,14 @@
                 self.ends.clear();
                 self.due.clear();
                 let entries = self.list.clone();
-                self.give(Event::List { scope: ListScope::Cached, entries });
+                self.handle(Event::List { scope: ListScope::Cached, entries });
             }
-            7..10 => self.give(Event::Gossip { from: self.next as u32 % 9, bytes: vec![1, 0, 9, 3] }),
-            10..14 => self.give(ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
+            7..10 => self.handle(Event::Gossip { from: self.next as u32 % 9, bytes: vec![1, 0, 9, 3] }),
+            10..14 => self.handle(ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
             14..20 => {
                 if let Some(id) = self.ends.keys().min().copied() {
                     self.ends.get_mut(&id).unwrap().2 = true;
-                    self.give(Event::ClientClosed(RequestId(id)));
+                    self.handle(Event::ClientClosed(RequestId(id)));
                     self.ends.retain(|_, e| !e.2 || e.1 > 0);
                 }
             }
@@ -197,7 +197,7 @@
                 let id = RequestId(self.next);
                 self.ends.insert(self.next, (self.now + timeout, 0, false));
                 self.next += 1;
-                self.give(Event::Request {
+                self.handle(Event::Request {
                     id,
                     class: ClassId(class),
                     tenant,
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn the_four_rules_hold_over_random_streams() {
+fn rules_hold_over_random_streams() {
     for (v, settings) in variants().into_iter().enumerate() {
         for seed in 0..12 {
             let breaches = World::new(seed, settings.clone(), |_| {}).run(20_000.0);
@@ -264,13 +264,13 @@
 #[test]
 fn equal_events_give_equal_actions() {
     let run = || {
-        let mut hand = Hand::new(settings(4), (0..9).map(server).collect());
+        let mut harness = Harness::new(settings(4), (0..9).map(endpoint).collect());
         let mut all = vec![];
         for id in 0..200 {
-            all.extend(hand.give(request(id, id as usize % 3, 1500.0)));
-            all.extend(hand.pass(7.0));
+            all.extend(harness.handle(request(id, id as usize % 3, 1500.0)));
+            all.extend(harness.advance(7.0));
             if id >= 8 {
-                all.extend(hand.give(ended(id - 8, 0, 56.0, Outcome::Served)));
+                all.extend(harness.handle(ended(id - 8, 0, 56.0, Outcome::Served)));
             }
         }
         all
@@ -286,7 +286,7 @@
 
 /// The checker must be able to fail: each rule is broken on purpose and seen.
 #[test]
-fn the_checker_sees_broken_rules() {
+fn checker_sees_broken_rules() {
     caught(
         |out| {
             let twice: Vec<Action> =
--- a/crates/core/tests/subscription.rs
+++ b/crates/core/tests/subscription.rs
@@ -1,12 +1,12 @@
 //! What is known of discovery, and until when requests may be sent by the list that is held.
 mod common;
 
-use common::{request, server, settings};
+use common::{endpoint, request, settings};
 use leadrelay_core::*;
 
 const GRACE: f64 = 2000.0;
-const ASSUMED: f64 = 6000.0;
-const MOVED: f64 = 4000.0;
+const AFTER_CHANGE: f64 = 6000.0;
+const AFTER_MOVE: f64 = 4000.0;
 /// Sends may end by so much before the last moment.
 const MARGIN: f64 = 450.0;
 const TICK: f64 = 20.0;
@@ -19,7 +19,7 @@
     opened: Vec<(CallId, Option<u64>)>,
     cancelled: Vec<(CallId, CancelReason)>,
     sent: Vec<EndpointId>,
-    refused: Vec<Option<f64>>,
+    rejected: Vec<Option<f64>>,
 }
 
 impl Proxy {
@@ -35,22 +35,22 @@
             opened: Vec::new(),
             cancelled: Vec::new(),
             sent: Vec::new(),
-            refused: Vec::new(),
+            rejected: Vec::new(),
         };
-        proxy.give(Event::List { scope: ListScope::Cached, entries: vec![server(1), server(2)] });
+        proxy.handle(Event::List { scope: ListScope::Cached, entries: vec![endpoint(1), endpoint(2)] });
         proxy.run_until(TICK);
         assert_eq!(proxy.opened.len(), 1, "the first call is made at once");
         proxy
     }
 
     /// One that holds version 5 of the list, with a watch open.
-    fn synchronised(discovery: DiscoveryMode) -> Self {
+    fn synchronized(discovery: DiscoveryMode) -> Self {
         let mut proxy = Proxy::new(discovery);
-        proxy.tell(5, true, vec![server(1), server(2)]);
+        proxy.send_list(5, true, vec![endpoint(1), endpoint(2)]);
         proxy
     }
 
-    fn give(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
@@ -59,20 +59,20 @@
                 Action::Subscribe { call, after } => self.opened.push((call, after)),
                 Action::Unsubscribe { call, reason } => self.cancelled.push((call, reason)),
                 Action::Send { endpoint, .. } => self.sent.push(endpoint),
-                Action::Reject { retry_after, .. } => self.refused.push(retry_after),
+                Action::Reject { retry_after, .. } => self.rejected.push(retry_after),
                 _ => {}
             }
         }
     }
 
-    fn discover(&mut self, event: DiscoveryEvent) {
-        self.give(Event::Discovery(event));
+    fn handle_discovery(&mut self, event: DiscoveryEvent) {
+        self.handle(Event::Discovery(event));
     }
 
     fn run_until(&mut self, end: f64) {
         while self.next_tick <= end {
             self.now = self.next_tick;
-            self.give(Event::Timer(0));
+            self.handle(Event::Timer(0));
         }
         self.now = end;
     }
@@ -81,23 +81,23 @@
         self.opened.last().expect("a call").0
     }
 
-    fn tell_on(&mut self, call: CallId, version: u64, whole: bool, entries: Vec<Endpoint>) {
+    fn send_list_on(&mut self, call: CallId, version: u64, complete: bool, entries: Vec<Endpoint>) {
         let read_at = self.now;
-        self.discover(DiscoveryEvent::Update { call, read_at, version, complete: whole, entries });
+        self.handle_discovery(DiscoveryEvent::Update { call, read_at, version, complete: complete, entries });
     }
 
-    fn tell(&mut self, version: u64, whole: bool, entries: Vec<Endpoint>) {
-        self.tell_on(self.call(), version, whole, entries);
+    fn send_list(&mut self, version: u64, complete: bool, entries: Vec<Endpoint>) {
+        self.send_list_on(self.call(), version, complete, entries);
     }
 
     fn heartbeat(&mut self) {
         let (call, read_at) = (self.call(), self.now);
-        self.discover(DiscoveryEvent::Heartbeat { call, read_at });
+        self.handle_discovery(DiscoveryEvent::Heartbeat { call, read_at });
     }
 
-    fn end(&mut self, end: CallEnd) {
+    fn end_call(&mut self, end: CallEnd) {
         let (call, at) = (self.call(), self.now);
-        self.discover(DiscoveryEvent::Ended { call, at, end });
+        self.handle_discovery(DiscoveryEvent::Ended { call, at, end });
     }
 
     /// Ends every call that is opened until then in this way.
@@ -107,19 +107,19 @@
             self.run_until(self.now + TICK);
             if self.opened.len() > seen {
                 seen = self.opened.len();
-                self.end(with);
+                self.end_call(with);
             }
         }
     }
 
     /// Whether a request that comes now goes out.
     fn sends(&mut self, id: u64) -> bool {
-        let before = (self.sent.len(), self.refused.len());
-        self.give(request(id, 0, 2000.0));
-        let (sent, refused) = (self.sent.len() > before.0, self.refused.len() > before.1);
-        assert!(sent != refused, "one or the other, at once");
+        let before = (self.sent.len(), self.rejected.len());
+        self.handle(request(id, 0, 2000.0));
+        let (sent, rejected) = (self.sent.len() > before.0, self.rejected.len() > before.1);
+        assert!(sent != rejected, "one or the other, at once");
         if sent {
-            self.give(common::ended(id, 0, 10.0, Outcome::Served));
+            self.handle(common::ended(id, 0, 10.0, Outcome::Served));
         }
         sent
     }
@@ -133,70 +133,70 @@
     }
 
     /// Asserts that the list is valid up to the grace after that moment, and hardly any sooner.
-    fn valid_until_grace_after(&self, assumed_at: f64) {
+    fn valid_until_grace_after(&self, notified_at: f64) {
         let valid_until = self.balancer.list_valid_until();
-        let last = assumed_at + GRACE;
+        let last = notified_at + GRACE;
         assert!(valid_until <= last && valid_until > last - MARGIN, "{valid_until} for {last}");
     }
 }
 
 #[test]
-fn a_list_stays_valid_while_its_watch_is_heard_and_for_a_while_after() {
+fn list_is_valid_while_watch_is_alive_and_a_while_after() {
     for discovery in [DiscoveryMode::Pushed, DiscoveryMode::OnRequest] {
-        let mut proxy = Proxy::synchronised(discovery);
+        let mut proxy = Proxy::synchronized(discovery);
         for second in 1..30u32 {
             proxy.run_until(1000.0 * f64::from(second));
             proxy.heartbeat();
             assert!(proxy.sends(second.into()));
         }
         assert_eq!((proxy.opened.len(), proxy.cancelled.len()), (1, 0));
-        proxy.valid_until_grace_after(29_000.0 + ASSUMED);
+        proxy.valid_until_grace_after(29_000.0 + AFTER_CHANGE);
     }
 }
 
 #[test]
-fn a_silent_watch_is_given_up_and_what_it_misses_counts_after_a_while() {
-    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
+fn silent_watch_is_cancelled_and_missed_changes_count_later() {
+    let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
     let (heard_at, silent) = (proxy.now, proxy.call());
     proxy.run_until(heard_at + 3100.0);
     assert_eq!(proxy.cancelled, [(silent, CancelReason::Silent)]);
-    proxy.fail_until(heard_at + ASSUMED + GRACE - MARGIN, CallEnd::Closed);
-    proxy.valid_until_grace_after(heard_at + ASSUMED);
+    proxy.fail_until(heard_at + AFTER_CHANGE + GRACE - MARGIN, CallEnd::Closed);
+    proxy.valid_until_grace_after(heard_at + AFTER_CHANGE);
     assert!(proxy.sends(1));
-    proxy.fail_until(heard_at + ASSUMED + GRACE, CallEnd::Closed);
+    proxy.fail_until(heard_at + AFTER_CHANGE + GRACE, CallEnd::Closed);
     assert!(!proxy.sends(2));
-    assert!(proxy.refused.last().expect("a refusal").is_some(), "told when to come back");
+    assert!(proxy.rejected.last().expect("a refusal").is_some(), "told when to come back");
     proxy.await_call();
-    proxy.tell(6, true, vec![server(1)]);
+    proxy.send_list(6, true, vec![endpoint(1)]);
     assert!(proxy.sends(3));
 }
 
 #[test]
-fn requests_that_wait_are_refused_once_the_list_is_no_longer_valid() {
-    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
+fn waiting_requests_are_rejected_once_list_is_stale() {
+    let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
     let heard_at = proxy.now;
-    proxy.fail_until(heard_at + ASSUMED + GRACE - MARGIN - 300.0, CallEnd::Closed);
+    proxy.fail_until(heard_at + AFTER_CHANGE + GRACE - MARGIN - 300.0, CallEnd::Closed);
     for id in 0..200 {
-        proxy.give(request(id, 1, 5000.0));
+        proxy.handle(request(id, 1, 5000.0));
     }
-    let waiting = 200 - proxy.sent.len() - proxy.refused.len();
-    assert!(waiting > 0, "more than the servers' slots");
+    let waiting = 200 - proxy.sent.len() - proxy.rejected.len();
+    assert!(waiting > 0, "more than the endpoints' slots");
     let sent = proxy.sent.len();
-    proxy.fail_until(heard_at + ASSUMED + GRACE, CallEnd::Closed);
+    proxy.fail_until(heard_at + AFTER_CHANGE + GRACE, CallEnd::Closed);
     for id in 0..sent as u64 {
-        proxy.give(common::ended(id, 0, 50.0, Outcome::Served));
+        proxy.handle(common::ended(id, 0, 50.0, Outcome::Served));
     }
     assert_eq!(proxy.sent.len(), sent, "slots that come free are not used");
-    assert_eq!(proxy.refused.len(), 200 - sent);
+    assert_eq!(proxy.rejected.len(), 200 - sent);
 }
 
 #[test]
-fn where_lists_are_pushed_what_a_lost_watch_misses_counts_at_once() {
-    let mut proxy = Proxy::synchronised(DiscoveryMode::Pushed);
+fn pushed_list_is_stale_at_once_without_watch() {
+    let mut proxy = Proxy::synchronized(DiscoveryMode::Pushed);
     proxy.run_until(1500.0);
-    proxy.end(CallEnd::Closed);
+    proxy.end_call(CallEnd::Closed);
     proxy.valid_until_grace_after(1500.0);
-    let mut silent = Proxy::synchronised(DiscoveryMode::Pushed);
+    let mut silent = Proxy::synchronized(DiscoveryMode::Pushed);
     let heard_at = silent.now;
     silent.run_until(heard_at + 3100.0);
     silent.valid_until_grace_after(silent.cancelled.first().map_or(0.0, |_| heard_at + 3000.0));
@@ -204,10 +204,10 @@
 }
 
 #[test]
-fn a_discovery_that_refuses_connections_can_not_have_told_anything() {
+fn unreachable_discovery_extends_validity() {
     for discovery in [DiscoveryMode::Pushed, DiscoveryMode::OnRequest] {
-        let mut proxy = Proxy::synchronised(discovery);
-        proxy.end(CallEnd::Closed);
+        let mut proxy = Proxy::synchronized(discovery);
+        proxy.end_call(CallEnd::Closed);
         proxy.fail_until(60_000.0, CallEnd::Unreachable);
         assert!(proxy.sends(1), "{discovery:?}");
         let calls = proxy.opened.len();
@@ -216,16 +216,16 @@
 }
 
 #[test]
-fn failures_while_discovery_was_down_do_not_put_off_calls_once_it_is_back() {
+fn failures_during_outage_do_not_delay_calls_after_it() {
     let mut waits = Vec::new();
     for _ in 0..20 {
-        let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
-        proxy.end(CallEnd::Closed);
+        let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
+        proxy.end_call(CallEnd::Closed);
         proxy.fail_until(20_000.0, CallEnd::Unreachable);
         let from = proxy.now;
         proxy.await_call();
         assert!(proxy.now - from <= 1000.0 + TICK);
-        proxy.end(CallEnd::Closed);
+        proxy.end_call(CallEnd::Closed);
         let from = proxy.now;
         proxy.await_call();
         waits.push(proxy.now - from);
@@ -234,22 +234,22 @@
 }
 
 #[test]
-fn news_that_can_not_be_read_counts_as_known_at_once() {
-    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
+fn malformed_update_counts_as_notified_at_once() {
+    let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
     proxy.run_until(1000.0);
-    proxy.end(CallEnd::Malformed);
+    proxy.end_call(CallEnd::Malformed);
     proxy.valid_until_grace_after(1000.0);
     proxy.run_until(1600.0);
     assert_eq!(proxy.opened.last().expect("a call").1, Some(5), "the watch resumes");
-    proxy.end(CallEnd::Malformed);
+    proxy.end_call(CallEnd::Malformed);
     proxy.run_until(2800.0);
     assert_eq!(proxy.opened.last().expect("a call").1, None, "then the whole list is wanted");
-    proxy.tell(7, true, vec![server(1)]);
-    proxy.valid_until_grace_after(proxy.now + ASSUMED);
+    proxy.send_list(7, true, vec![endpoint(1)]);
+    proxy.valid_until_grace_after(proxy.now + AFTER_CHANGE);
 }
 
 #[test]
-fn one_bound_holds_for_a_whole_call() {
+fn one_timeout_covers_a_whole_call() {
     let mut proxy = Proxy::new(DiscoveryMode::OnRequest);
     let (started_at, first) = (proxy.now, proxy.call());
     proxy.run_until(started_at + 1100.0);
@@ -257,8 +257,8 @@
     proxy.run_until(started_at + 1700.0);
     let (started_at, second) = (proxy.now, proxy.call());
     assert_ne!(first, second);
-    proxy.discover(DiscoveryEvent::Connected(first)); // of a call that has been given up
-    proxy.discover(DiscoveryEvent::Connected(second));
+    proxy.handle_discovery(DiscoveryEvent::Connected(first)); // of a call that has been given up
+    proxy.handle_discovery(DiscoveryEvent::Connected(second));
     proxy.run_until(started_at + 2300.0);
     assert_eq!(proxy.cancelled.len(), 1, "it may wait its turn");
     proxy.run_until(started_at + 3100.0);
@@ -266,52 +266,52 @@
 }
 
 #[test]
-fn a_heartbeat_in_an_answer_that_has_told_nothing_confirms_nothing() {
-    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
-    proxy.end(CallEnd::Closed);
+fn heartbeat_before_list_confirms_nothing() {
+    let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
+    proxy.end_call(CallEnd::Closed);
     let ended_at = proxy.now;
     proxy.await_call();
     let (started_at, call) = (proxy.now, proxy.call());
-    proxy.discover(DiscoveryEvent::Connected(call));
+    proxy.handle_discovery(DiscoveryEvent::Connected(call));
     for _ in 0..2 {
         proxy.run_until(proxy.now + 1000.0);
         proxy.heartbeat();
-        proxy.valid_until_grace_after(ended_at + ASSUMED);
+        proxy.valid_until_grace_after(ended_at + AFTER_CHANGE);
     }
     proxy.run_until(started_at + 3100.0);
     assert_eq!(proxy.cancelled, [(call, CancelReason::AnswerTimeout)]);
     proxy.run_until(started_at + 4200.0);
     assert_eq!(proxy.opened.last().expect("a call").1, None, "the whole list is wanted");
     // The first object may say that nothing has changed.
-    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
-    proxy.end(CallEnd::Closed);
+    let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
+    proxy.end_call(CallEnd::Closed);
     proxy.await_call();
-    proxy.tell(5, false, Vec::new());
-    proxy.valid_until_grace_after(proxy.now + ASSUMED);
+    proxy.send_list(5, false, Vec::new());
+    proxy.valid_until_grace_after(proxy.now + AFTER_CHANGE);
 }
 
 #[test]
-fn after_a_move_the_former_watch_is_heeded_until_the_new_address_has_told_its_list() {
-    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
+fn former_watch_counts_until_new_address_sent_its_list() {
+    let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
     let former = proxy.call();
     proxy.run_until(1000.0);
-    proxy.discover(DiscoveryEvent::Moved);
+    proxy.handle_discovery(DiscoveryEvent::Moved);
     let new = proxy.call();
     assert_eq!(proxy.opened.last(), Some(&(new, None)), "a call is made at once, for the whole list");
     assert!(former != new && proxy.cancelled.is_empty());
-    proxy.valid_until_grace_after(1000.0 + MOVED);
-    let draining = |id| Endpoint { state: EndpointState::Draining, ..server(id) };
-    proxy.tell_on(former, 6, false, vec![draining(1)]);
+    proxy.valid_until_grace_after(1000.0 + AFTER_MOVE);
+    let draining = |id| Endpoint { state: EndpointState::Draining, ..endpoint(id) };
+    proxy.send_list_on(former, 6, false, vec![draining(1)]);
     for id in 0..4 {
         assert!(proxy.sends(id));
     }
     assert!(proxy.sent.iter().all(|backend| backend.0 == 2), "{:?}", proxy.sent);
-    proxy.valid_until_grace_after(1000.0 + MOVED);
-    proxy.tell_on(new, 3, true, vec![server(1), draining(2)]);
+    proxy.valid_until_grace_after(1000.0 + AFTER_MOVE);
+    proxy.send_list_on(new, 3, true, vec![endpoint(1), draining(2)]);
     assert_eq!(proxy.cancelled, [(former, CancelReason::Moved)]);
-    proxy.valid_until_grace_after(proxy.now + ASSUMED);
+    proxy.valid_until_grace_after(proxy.now + AFTER_CHANGE);
     // Late lines of the former address undo nothing.
-    proxy.tell_on(former, 7, true, vec![server(1), server(2)]);
+    proxy.send_list_on(former, 7, true, vec![endpoint(1), endpoint(2)]);
     proxy.sent.clear();
     for id in 10..14 {
         assert!(proxy.sends(id));
@@ -320,46 +320,46 @@
 }
 
 #[test]
-fn a_move_without_an_answer_ends_the_list_s_validity_whatever_the_former_watch_says() {
-    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
+fn move_without_answer_ends_validity() {
+    let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
     let former = proxy.call();
-    proxy.discover(DiscoveryEvent::Moved);
+    proxy.handle_discovery(DiscoveryEvent::Moved);
     let moved_at = proxy.now;
-    while proxy.now < moved_at + MOVED + GRACE {
+    while proxy.now < moved_at + AFTER_MOVE + GRACE {
         proxy.run_until(proxy.now + 500.0);
         let read_at = proxy.now;
-        proxy.discover(DiscoveryEvent::Heartbeat { call: former, read_at });
+        proxy.handle_discovery(DiscoveryEvent::Heartbeat { call: former, read_at });
     }
     assert!(!proxy.sends(1));
 }
 
 #[test]
-fn versions_decide_what_is_news() {
-    let mut proxy = Proxy::synchronised(DiscoveryMode::OnRequest);
-    let draining = Endpoint { state: EndpointState::Draining, ..server(1) };
+fn versions_decide_what_is_new() {
+    let mut proxy = Proxy::synchronized(DiscoveryMode::OnRequest);
+    let draining = Endpoint { state: EndpointState::Draining, ..endpoint(1) };
     assert!(proxy.balancer.admits_update(proxy.call(), 6, false));
     assert!(!proxy.balancer.admits_update(proxy.call(), 4, true), "older than what is held");
     assert!(!proxy.balancer.admits_update(CallId(99), 6, true), "of no call that is open");
-    proxy.tell(4, true, vec![draining]);
+    proxy.send_list(4, true, vec![draining]);
     assert_eq!(proxy.balancer.list_version(), Some(5));
-    proxy.end(CallEnd::Closed);
+    proxy.end_call(CallEnd::Closed);
     proxy.run_until(proxy.now + 600.0);
     // Changes up to a lower version follow nothing; a whole list of one is a discovery that has begun anew.
     let call = proxy.call();
-    proxy.tell(2, false, vec![server(3)]);
+    proxy.send_list(2, false, vec![endpoint(3)]);
     assert_eq!(proxy.cancelled, [(call, CancelReason::VersionGap)]);
     proxy.run_until(proxy.now + 1100.0);
     assert_eq!(proxy.opened.last().expect("a call").1, None);
-    proxy.tell(2, true, vec![server(3)]);
+    proxy.send_list(2, true, vec![endpoint(3)]);
     assert_eq!(proxy.balancer.list_version(), Some(2));
 }
 
 #[test]
-fn a_successor_has_little_time_until_it_must_know_the_list() {
+fn takeover_shortens_validity() {
     let mut proxy = Proxy::new(DiscoveryMode::OnRequest);
     let started_at = proxy.now;
-    proxy.discover(DiscoveryEvent::TakeoverStarted);
+    proxy.handle_discovery(DiscoveryEvent::TakeoverStarted);
     proxy.valid_until_grace_after(started_at + 2000.0);
-    proxy.tell(5, true, vec![server(1)]);
-    proxy.valid_until_grace_after(proxy.now + ASSUMED);
+    proxy.send_list(5, true, vec![endpoint(1)]);
+    proxy.valid_until_grace_after(proxy.now + AFTER_CHANGE);
 }
--- a/crates/core/tests/threshold.rs
+++ b/crates/core/tests/threshold.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn it_minimises_the_mean_delay() {
+fn threshold_minimizes_mean_delay() {
     for m in [1u32, 2, 3, 7, 20, 60, 200] {
         for rho in [0.1, 0.5, 0.8, 0.95, 0.999, 1.0, 1.001, 1.05, 1.3, 2.0] {
             for ratio in [1.05, 1.5, 2.0, 4.0, 10.0] {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn it_is_the_largest_with_a_negative_difference() {
+fn threshold_is_largest_with_negative_difference() {
     for (m, rho, ratio) in [(1, 0.7, 6.0), (4, 0.9, 3.0), (10, 1.0, 4.0), (30, 0.98, 2.5)] {
         let tau = threshold(f64::from(m), rho, ratio);
         assert!(tau > 0, "a case that tests nothing");
