--- a/crates/core/tests/subscription.rs
+++ b/crates/core/tests/subscription.rs
@@ -83,7 +83,7 @@
 
     fn send_list_on(&mut self, call: CallId, version: u64, complete: bool, entries: Vec<Endpoint>) {
         let read_at = self.now;
-        self.handle_discovery(DiscoveryEvent::Update { call, read_at, version, complete: complete, entries });
+        self.handle_discovery(DiscoveryEvent::Update { call, read_at, version, complete, entries });
     }
 
     fn send_list(&mut self, version: u64, complete: bool, entries: Vec<Endpoint>) {
