--- /dev/null
+++ b/crates/sim-adapter/src/lines.rs
@@ -0,0 +1,35 @@
+//! Numbered lines of the input.
+
+use std::io::{self, BufRead};
+
+use crate::error::{Error, LineError};
+
+/// One line of the input.
+pub struct NumberedLine {
+    /// Its number, counted from 1.
+    pub number: usize,
+    /// Its text, without the line break.
+    pub text: String,
+}
+
+/// Reads the input line by line.
+pub struct NumberedLines<R> {
+    lines: io::Lines<R>,
+    /// The number of the last line that was read.
+    number: usize,
+}
+
+impl<R: BufRead> NumberedLines<R> {
+    /// Starts before the first line.
+    pub fn new(input: R) -> Self {
+        NumberedLines { lines: input.lines(), number: 0 }
+    }
+
+    /// The next line; `None` at the end of the input.
+    pub fn next(&mut self) -> Result<Option<NumberedLine>, Error> {
+        let Some(line) = self.lines.next() else { return Ok(None) };
+        self.number += 1;
+        let text = line.map_err(|error| LineError::from(error).at_line(self.number))?;
+        Ok(Some(NumberedLine { number: self.number, text }))
+    }
+}
--- a/crates/sim-adapter/tests/adapter.rs
+++ b/crates/sim-adapter/tests/adapter.rs
@@ -1,8 +1,8 @@
-//! The adapter on small texts.
+//! The adapter as a process: batches on standard input, replies, messages and exit codes.
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-fn wirehost(input: &str) -> (bool, String, String) {
+fn run_adapter(input: &str) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_leadrelay-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -28,19 +28,19 @@
 }
 
 #[test]
-fn an_empty_batch_and_the_end() {
-    assert_eq!(wirehost("FRAME\tts=1.5\nGO\n"), (true, "EOR\n".into(), String::new()));
-    assert_eq!(wirehost(""), (true, String::new(), String::new()));
+fn empty_batch_and_empty_input() {
+    assert_eq!(run_adapter("FRAME\tts=1.5\nGO\n"), (true, "EOR\n".into(), String::new()));
+    assert_eq!(run_adapter(""), (true, String::new(), String::new()));
 }
 
 #[test]
-fn a_request_is_sent_and_a_failed_unsafe_one_is_not_sent_again() {
+fn failed_non_idempotent_request_is_not_retried() {
     let input = format!(
         "FRAME\tts=10\n{}ARRIVAL\ti=0\trid=r-x\ttierClass=odd\ttimeBudget=900\nGO\n\
          FRAME\tts=40\nOUTCOME\ti=0\trid=r-x\tbackend=b.one\tlatency=30\tsendNo=0\treason=never-heard-of\nGO\n",
         start(0)
     );
-    let (ok, out, err) = wirehost(&input);
+    let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
     let replies: Vec<&str> = out.split("EOR\n").collect();
     assert!(replies[0].contains("SUBMIT_TO\ti=0\trid=r-x\tbackend=b."), "{out}");
@@ -56,13 +56,13 @@
          ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\tcolour=red\nGO\n",
         start(0)
     );
-    let (ok, out, err) = wirehost(&input);
+    let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
     assert!(out.contains("rid=r-1"), "{out}");
 }
 
 #[test]
-fn malformed_lines_end_it_with_their_number() {
+fn malformed_line_is_reported_with_its_number() {
     for (line, at) in [
         ("ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=soon\n", "line 6"),
         ("ARRIVAL\ti=0\trid=r-1\ttierClass=page\n", "line 6"),
@@ -72,31 +72,32 @@
         ("TOPOLOGY\ti=0\tscope=delta\tnodesList=1\nGO\n", "line 7"),
         ("NOTE_FROM\ti=0\twho=1\tmsg=***\n", "line 6"),
     ] {
-        let (ok, _, err) = wirehost(&format!("FRAME\tts=10\n{}{line}GO\n", start(0)));
+        let (ok, _, err) = run_adapter(&format!("FRAME\tts=10\n{}{line}GO\n", start(0)));
         assert!(!ok, "accepted {line}");
         assert!(err.contains(at), "{line}: {err}");
     }
 }
 
 #[test]
-fn a_restart_forgets_and_instances_do_not_touch_each_other() {
-    let ask = |i: u32, r: &str| format!("ARRIVAL\ti={i}\trid={r}\ttierClass=page\ttimeBudget=900\n");
-    let alone = format!("FRAME\tts=10\n{}{}GO\n", start(1), ask(1, "r-1"));
-    let both = format!("FRAME\tts=10\n{}{}{}{}GO\n", start(0), start(1), ask(0, "r-0"), ask(1, "r-1"));
+fn restarted_instance_is_empty_and_others_are_unaffected() {
+    let arrival = |i: u32, r: &str| format!("ARRIVAL\ti={i}\trid={r}\ttierClass=page\ttimeBudget=900\n");
+    let alone = format!("FRAME\tts=10\n{}{}GO\n", start(1), arrival(1, "r-1"));
+    let both =
+        format!("FRAME\tts=10\n{}{}{}{}GO\n", start(0), start(1), arrival(0, "r-0"), arrival(1, "r-1"));
     let of_one =
         |out: &str| out.lines().filter(|l| l.contains("\ti=1\t")).map(str::to_owned).collect::<Vec<_>>();
-    assert_eq!(of_one(&wirehost(&alone).1), of_one(&wirehost(&both).1));
+    assert_eq!(of_one(&run_adapter(&alone).1), of_one(&run_adapter(&both).1));
     let again = format!(
         "{alone}FRAME\tts=20\nCRASH_NOW\ti=1\n{}OUTCOME\ti=1\trid=r-1\tbackend=b.one\tsendNo=0\treason=completed\nGO\n",
         start(1)
     );
-    let (ok, out, err) = wirehost(&again);
+    let (ok, out, err) = run_adapter(&again);
     assert!(ok, "{err}");
     assert!(!out.split("EOR\n").nth(1).unwrap().contains("r-1"), "{out}");
 }
 
 #[test]
-fn odd_numbers_neither_panic_nor_pass() {
+fn out_of_range_numbers_cause_no_exception() {
     for (from, to) in [
         ("\"nInstances\":1", "\"nInstances\":1e18"),
         ("\"myNumber\":0", "\"myNumber\":-4"),
@@ -111,26 +112,26 @@
              FRAME\tts=2000\nDEADLINE_HIT\ti=0\tkeyBack=0\nGO\n",
             start(0).replace(from, to)
         );
-        let (ok, out, err) = wirehost(&input);
+        let (ok, out, err) = run_adapter(&input);
         assert!(ok, "{to}: {err}");
         assert!(!out.contains("EXCEPTION"), "{to}: {out}");
     }
     let input = format!("FRAME\tts=10\n{}DEADLINE_HIT\ti=0\tkeyBack=NaN\nGO\n", start(0));
-    assert!(!wirehost(&input).0, "a token that is no number");
+    assert!(!run_adapter(&input).0, "a token that is no number");
 }
 
 #[test]
-fn a_kill_and_a_start_in_one_batch_and_an_answer_with_a_hang_up() {
-    let ask = "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\n";
+fn instance_restarted_within_a_batch_serves_requests() {
+    let arrival = "ARRIVAL\ti=0\trid=r-1\ttierClass=page\ttimeBudget=900\n";
     let end = "OUTCOME\ti=0\trid=r-1\tbackend=b.one\tlatency=9\tsendNo=0\tclosed=1\treason=completed\n";
     let input = format!(
-        "FRAME\tts=10\n{}{ask}GO\nFRAME\tts=20\nCRASH_NOW\ti=0\n{}GO\n\
+        "FRAME\tts=10\n{}{arrival}GO\nFRAME\tts=20\nCRASH_NOW\ti=0\n{}GO\n\
          FRAME\tts=30\n{}GO\nFRAME\tts=40\n{end}HANGUP\ti=0\trid=r-2\nHANGUP\ti=0\trid=r-2\nGO\n",
         start(0),
         start(0),
-        ask.replace("r-1", "r-2")
+        arrival.replace("r-1", "r-2")
     );
-    let (ok, out, err) = wirehost(&input);
+    let (ok, out, err) = run_adapter(&input);
     assert!(ok, "{err}");
     let replies: Vec<&str> = out.split("EOR\n").collect();
     assert!(replies[2].contains("SUBMIT_TO\ti=0\trid=r-2"), "the new start serves: {out}");
