--- a/crates/cli/tests/system_errors.rs
+++ b/crates/cli/tests/system_errors.rs
@@ -5,12 +5,12 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use leadrelay_soak::faults::{Errno, Faults, LIBRARY, VARIABLE};
+use leadrelay_soak::syscall_faults::{CONTROL_FILE_VARIABLE, Errno, LIBRARY, SocketErrors, SyscallFaults};
 use sockets::*;
 
 /// A proxy whose system calls can be made to fail.
 struct Faulty {
-    faults: Faults,
+    faults: SyscallFaults,
     proxy: Proxy,
     discovery: Discovery,
     version: u64,
@@ -23,13 +23,13 @@
         let text = config(discovery.address, &Setup { admin: true, ..Setup::default() });
         // A cold span of two seconds instead of nearly nine.
         let file = config_file(&text.replace("\"cold\":8700", "\"cold\":2000"));
-        let faults = Faults::new(&file.with_extension("faults")).expect("a file");
+        let faults = SyscallFaults::new(&file.with_extension("faults")).expect("a file");
         let mut command = Command::new(env!("CARGO_BIN_EXE_leadrelay"));
         command
             .arg("serve")
             .env("NODE_CONFIG", &file)
             .env("LD_PRELOAD", LIBRARY)
-            .env(VARIABLE, faults.path());
+            .env(CONTROL_FILE_VARIABLE, faults.path());
         let child = command.stderr(Stdio::piped()).spawn().expect("the proxy starts");
         let proxy = Proxy::of(child, file);
         wait_for("/up", || proxy.is_up());
@@ -110,10 +110,11 @@
         let hosts: Vec<String> =
             (0..4).map(|n| host(&format!("s-{n}"), backends[n].address, "up", 0)).collect();
         let faulty = Faulty::up(&hosts);
-        match errno {
-            Errno::AddressNotAvailable => faulty.faults.fail_sockets(None, None, Some(errno), 100),
-            _ => faulty.faults.fail_sockets(None, Some(errno), None, 100),
-        }
+        let errors = match errno {
+            Errno::AddressNotAvailable => SocketErrors { connect: Some(errno), ..SocketErrors::default() },
+            _ => SocketErrors { socket: Some(errno), ..SocketErrors::default() },
+        };
+        faulty.faults.fail_sockets(errors, 100);
         for n in 0..8 {
             let text = page(&format!("r-{n}")).replace("X-Timeout: 5\r", "X-Timeout: 0.6\r");
             let answer = Client::new(&faulty.proxy).ask(&text).expect("an answer");
@@ -131,7 +132,8 @@
 fn requests_of_a_connection_that_was_accepted_late_tell_their_backend_what_is_left() {
     let backend = Backend::new(Deed::Write(ok("served")));
     let faulty = Faulty::up(&[host("s-0", backend.address, "up", 0)]);
-    faulty.faults.fail_sockets(Some(Errno::NoBuffers), None, None, 100);
+    let errors = SocketErrors { accept: Some(Errno::NoBuffers), ..SocketErrors::default() };
+    faulty.faults.fail_sockets(errors, 100);
     let mut client = Client::new(&faulty.proxy);
     client.send(&(submit("r-1", "5", "x") + &submit("r-2", "5", "x")));
     let sent_at = std::time::Instant::now();
--- a/crates/soak/shim/faults.rs
+++ b/crates/soak/shim/faults.rs
@@ -1,11 +1,12 @@
 //! Loaded into a proxy under test by `LD_PRELOAD`: makes system calls fail as their manual pages allow, and steps the wall
 //! clock. The file named by `LEADRELAY_FAULTS`, mapped into the process, says what fails at present; its fields are those
-//! of `fault_control.rs`. Nothing here may use what it replaces, so the standard library is used for atomics alone.
+//! of `src/syscall_faults.rs`. Nothing here may use what it replaces, so the standard library is used for atomics alone.
 
 use std::ffi::{c_char, c_int, c_long, c_void};
 use std::sync::atomic::{AtomicPtr, AtomicU64, AtomicUsize, Ordering::Relaxed};
 
-const NEXT: *mut c_void = -1isize as *mut c_void;
+/// The next library in search order, for `dlsym`.
+const RTLD_NEXT: *mut c_void = -1isize as *mut c_void;
 const CLOCK_REALTIME: c_int = 0;
 const MSG_PEEK: c_int = 2;
 const EINTR: c_int = 4;
@@ -14,9 +15,15 @@
 const AF_INET: c_int = 2;
 const ENFILE: c_int = 23;
 const O_CREAT: c_int = 0o100;
-const SIZE: usize = 4096;
-
-/// Places of the fields in the file, eight bytes each.
+const O_RDWR: c_int = 2;
+const PROT_READ_WRITE: c_int = 3;
+const MAP_SHARED: c_int = 1;
+const MAP_FAILED: isize = -1;
+/// Bytes of the control file: one page.
+const FILE_SIZE: usize = 4096;
+const NANOSECONDS_PER_SECOND: c_long = 1_000_000_000;
+
+/// Positions of the fields in the file, eight bytes each.
 const CLOCK_OFFSET_NS: usize = 0;
 const ACCEPT_ERRNO: usize = 1;
 const SOCKET_ERRNO: usize = 2;
@@ -42,7 +49,7 @@
     fn dlsym(handle: *mut c_void, name: *const c_char) -> *mut c_void;
     fn getenv(name: *const c_char) -> *const c_char;
     fn mmap(
-        at: *mut c_void, size: usize, protection: c_int, flags: c_int, fd: c_int, from: c_long,
+        address: *mut c_void, size: usize, protection: c_int, flags: c_int, fd: c_int, offset: c_long,
     ) -> *mut c_void;
     fn strstr(text: *const c_char, part: *const c_char) -> *const c_char;
     fn getsockopt(fd: c_int, level: c_int, name: c_int, value: *mut c_int, size: *mut u32) -> c_int;
@@ -50,7 +57,8 @@
 }
 
 static FIELDS: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
-static DRAWS: AtomicU64 = AtomicU64::new(0);
+/// How many samples have been taken, the state of the random stream.
+static SAMPLES: AtomicU64 = AtomicU64::new(0);
 
 /// Maps the file once the process has been loaded.
 #[used]
@@ -61,64 +69,71 @@
     type Open = unsafe extern "C" fn(*const c_char, c_int, ...) -> c_int;
     unsafe {
         let path = getenv(c"LEADRELAY_FAULTS".as_ptr());
-        let open = dlsym(NEXT, c"open64".as_ptr());
+        let open = dlsym(RTLD_NEXT, c"open64".as_ptr());
         if path.is_null() || open.is_null() {
             return;
         }
         let open: Open = std::mem::transmute(open);
-        let fd = open(path, 2);
+        let fd = open(path, O_RDWR);
         if fd >= 0 {
-            let (read_write, shared) = (3, 1);
-            let at = mmap(std::ptr::null_mut(), SIZE, read_write, shared, fd, 0);
-            if at as isize != -1 {
-                FIELDS.store(at.cast(), Relaxed);
+            let address = mmap(std::ptr::null_mut(), FILE_SIZE, PROT_READ_WRITE, MAP_SHARED, fd, 0);
+            if address as isize != MAP_FAILED {
+                FIELDS.store(address.cast(), Relaxed);
             }
         }
     }
 }
 
-fn field(place: usize) -> u64 {
+fn field(index: usize) -> u64 {
     let fields = FIELDS.load(Relaxed);
-    if fields.is_null() { 0 } else { unsafe { (*fields.add(place)).load(Relaxed) } }
+    if fields.is_null() {
+        return 0;
+    }
+    unsafe { (*fields.add(index)).load(Relaxed) }
 }
 
 /// Whether calls on a socket may be interrupted: those of TCP. The runtime ends the process if a read of its own pair of
 /// Unix sockets is, which never waits, so that the system never interrupts it.
 fn is_interruptible(fd: c_int) -> bool {
-    let (mut domain, mut size) = (0, 4);
-    unsafe { getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &raw mut domain, &raw mut size) == 0 && domain == AF_INET }
+    let mut domain = 0;
+    let mut size = size_of::<c_int>() as u32;
+    let result = unsafe { getsockopt(fd, SOL_SOCKET, SO_DOMAIN, &raw mut domain, &raw mut size) };
+    result == 0 && domain == AF_INET
 }
 
-/// Whether a thing that happens to so many calls in a hundred happens to this one.
-fn drawn(percent: u64) -> bool {
+/// Whether a fault that concerns a part of the calls concerns this one.
+fn sample(percent: u64) -> bool {
     if percent == 0 {
         return false;
     }
-    let mut draw = DRAWS.fetch_add(1, Relaxed).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    draw = (draw ^ (draw >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    (draw >> 33) % 100 < percent
+    // SplitMix64, without its last step.
+    let state = SAMPLES.fetch_add(1, Relaxed).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mixed = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    (mixed >> 33) % 100 < percent
 }
 
-fn fails(place: usize) -> Option<c_int> {
-    let errno = field(place) as c_int;
-    (errno != 0 && drawn(field(FAILING_PERCENT))).then_some(errno)
+/// The error that a call fails with, if it does.
+fn failure(errno_field: usize) -> Option<c_int> {
+    let errno = field(errno_field) as c_int;
+    (errno != 0 && sample(field(FAILING_PERCENT))).then_some(errno)
 }
 
-fn failed(errno: c_int) -> isize {
+/// Sets `errno` and returns what a failed call does.
+fn fail_with(errno: c_int) -> isize {
     unsafe { *__errno_location() = errno };
     -1
 }
 
-/// The function that the process would call without this library. Stands in an unsafe block.
+/// The function that the process would call without this library. To be used in an unsafe block.
 macro_rules! original {
-    ($name:literal, $kind:ty) => {{
+    ($name:literal, $signature:ty) => {{
         static ADDRESS: AtomicUsize = AtomicUsize::new(0);
         let mut address = ADDRESS.load(Relaxed);
         if address == 0 {
-            address = dlsym(NEXT, $name.as_ptr()) as usize;
+            address = dlsym(RTLD_NEXT, $name.as_ptr()) as usize;
             ADDRESS.store(address, Relaxed);
         }
-        std::mem::transmute::<usize, $kind>(address)
+        std::mem::transmute::<usize, $signature>(address)
     }};
 }
 
@@ -127,11 +142,10 @@
     type GetTime = unsafe extern "C" fn(c_int, *mut Timespec) -> c_int;
     let result = unsafe { original!(c"clock_gettime", GetTime)(clock, time) };
     if clock == CLOCK_REALTIME && result == 0 {
-        let billion = 1_000_000_000;
         unsafe {
-            let stepped = (*time).nanoseconds + field(CLOCK_OFFSET_NS) as i64;
-            (*time).seconds += stepped.div_euclid(billion);
-            (*time).nanoseconds = stepped.rem_euclid(billion);
+            let nanoseconds = (*time).nanoseconds + field(CLOCK_OFFSET_NS) as i64;
+            (*time).seconds += nanoseconds.div_euclid(NANOSECONDS_PER_SECOND);
+            (*time).nanoseconds = nanoseconds.rem_euclid(NANOSECONDS_PER_SECOND);
         }
     }
     result
@@ -142,26 +156,26 @@
     fd: c_int, address: *mut c_void, length: *mut c_void, flags: c_int,
 ) -> c_int {
     type Accept = unsafe extern "C" fn(c_int, *mut c_void, *mut c_void, c_int) -> c_int;
-    match fails(ACCEPT_ERRNO) {
-        Some(errno) => failed(errno) as c_int,
+    match failure(ACCEPT_ERRNO) {
+        Some(errno) => fail_with(errno) as c_int,
         None => unsafe { original!(c"accept4", Accept)(fd, address, length, flags) },
     }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
+pub unsafe extern "C" fn socket(domain: c_int, socket_type: c_int, protocol: c_int) -> c_int {
     type Socket = unsafe extern "C" fn(c_int, c_int, c_int) -> c_int;
-    match fails(SOCKET_ERRNO) {
-        Some(errno) => failed(errno) as c_int,
-        None => unsafe { original!(c"socket", Socket)(domain, kind, protocol) },
+    match failure(SOCKET_ERRNO) {
+        Some(errno) => fail_with(errno) as c_int,
+        None => unsafe { original!(c"socket", Socket)(domain, socket_type, protocol) },
     }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn connect(fd: c_int, address: *const c_void, length: u32) -> c_int {
     type Connect = unsafe extern "C" fn(c_int, *const c_void, u32) -> c_int;
-    match fails(CONNECT_ERRNO) {
-        Some(errno) => failed(errno) as c_int,
+    match failure(CONNECT_ERRNO) {
+        Some(errno) => fail_with(errno) as c_int,
         None => unsafe { original!(c"connect", Connect)(fd, address, length) },
     }
 }
@@ -169,51 +183,51 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn recv(fd: c_int, buffer: *mut c_void, size: usize, flags: c_int) -> isize {
     type Receive = unsafe extern "C" fn(c_int, *mut c_void, usize, c_int) -> isize;
-    if drawn(field(INTERRUPTED_PERCENT)) && is_interruptible(fd) {
-        return failed(EINTR);
+    if sample(field(INTERRUPTED_PERCENT)) && is_interruptible(fd) {
+        return fail_with(EINTR);
     }
-    let short = flags & MSG_PEEK == 0 && size > 1 && drawn(field(SHORT_PERCENT));
+    let short = flags & MSG_PEEK == 0 && size > 1 && sample(field(SHORT_PERCENT));
     unsafe { original!(c"recv", Receive)(fd, buffer, if short { 1 } else { size }, flags) }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(fd: c_int, buffer: *const c_void, size: usize, flags: c_int) -> isize {
     type Send = unsafe extern "C" fn(c_int, *const c_void, usize, c_int) -> isize;
-    if drawn(field(INTERRUPTED_PERCENT)) {
-        return failed(EINTR);
+    if sample(field(INTERRUPTED_PERCENT)) {
+        return fail_with(EINTR);
     }
-    let short = size > 1 && drawn(field(SHORT_PERCENT));
+    let short = size > 1 && sample(field(SHORT_PERCENT));
     unsafe { original!(c"send", Send)(fd, buffer, if short { 1 } else { size }, flags) }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn writev(fd: c_int, vectors: *const IoVec, count: c_int) -> isize {
     type WriteVectors = unsafe extern "C" fn(c_int, *const IoVec, c_int) -> isize;
-    if drawn(field(INTERRUPTED_PERCENT)) {
-        return failed(EINTR);
+    if sample(field(INTERRUPTED_PERCENT)) {
+        return fail_with(EINTR);
     }
-    let count = if count > 1 && drawn(field(SHORT_PERCENT)) { 1 } else { count };
+    let count = if count > 1 && sample(field(SHORT_PERCENT)) { 1 } else { count };
     unsafe { original!(c"writev", WriteVectors)(fd, vectors, count) }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn epoll_wait(fd: c_int, events: *mut c_void, most: c_int, timeout: c_int) -> c_int {
+pub unsafe extern "C" fn epoll_wait(fd: c_int, events: *mut c_void, max_events: c_int, timeout: c_int) -> c_int {
     type Wait = unsafe extern "C" fn(c_int, *mut c_void, c_int, c_int) -> c_int;
-    if drawn(field(INTERRUPTED_PERCENT)) {
-        return failed(EINTR) as c_int;
+    if sample(field(INTERRUPTED_PERCENT)) {
+        return fail_with(EINTR) as c_int;
     }
-    unsafe { original!(c"epoll_wait", Wait)(fd, events, most, timeout) }
+    unsafe { original!(c"epoll_wait", Wait)(fd, events, max_events, timeout) }
 }
 
-/// Files of the handover fail to open: all of them where the system has no descriptor, else those that are created.
+/// Makes files of the handover fail to open: all of them if the system has no descriptor, else those that are created.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: c_int) -> c_int {
     type Open = unsafe extern "C" fn(*const c_char, c_int, c_int) -> c_int;
     let errno = field(FILE_ERRNO) as c_int;
-    let ours = errno != 0 && unsafe { !strstr(path, c"leadrelay-".as_ptr()).is_null() };
-    let fails = ours && (errno == ENFILE || flags & O_CREAT != 0);
-    if fails && drawn(field(FAILING_PERCENT)) {
-        return failed(errno) as c_int;
+    let is_handover = errno != 0 && unsafe { !strstr(path, c"leadrelay-".as_ptr()).is_null() };
+    let may_fail = is_handover && (errno == ENFILE || flags & O_CREAT != 0);
+    if may_fail && sample(field(FAILING_PERCENT)) {
+        return fail_with(errno) as c_int;
     }
     unsafe { original!(c"open64", Open)(path, flags, mode) }
 }
--- /dev/null
+++ b/crates/soak/src/clients/connection.rs
@@ -0,0 +1,57 @@
+//! A client's connection to a proxy.
+
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::io::AsyncWriteExt as _;
+use tokio::net::TcpStream;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::time::timeout;
+
+use crate::http::MessageReader;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longer than any deadline of a class.
+const SEND_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// A connection of a client.
+pub(super) struct Connection {
+    pub(super) reader: MessageReader<OwnedReadHalf>,
+    output: OwnedWriteHalf,
+    requests: u32,
+}
+
+impl Connection {
+    pub(super) async fn open(address: SocketAddr) -> io::Result<Self> {
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await??;
+        stream.set_nodelay(true)?;
+        let (input, output) = stream.into_split();
+        Ok(Connection { reader: MessageReader::new(input), output, requests: 0 })
+    }
+
+    /// Writes a whole request, or gives it up.
+    pub(super) async fn send(&mut self, request: &[u8]) -> io::Result<()> {
+        self.requests += 1;
+        timeout(SEND_TIMEOUT, self.output.write_all(request)).await?
+    }
+
+    /// Writes a part of a request.
+    pub(super) async fn send_part(&mut self, part: &[u8]) -> io::Result<()> {
+        self.output.write_all(part).await
+    }
+
+    /// Whether it has carried a request.
+    pub(super) fn is_reused(&self) -> bool {
+        self.requests > 0
+    }
+
+    /// Whether the proxy has closed it, as far as is known.
+    pub(super) fn is_closed(&self) -> bool {
+        let mut byte = [0];
+        match self.output.as_ref().try_read(&mut byte) {
+            Ok(_) => true,
+            Err(error) => error.kind() != io::ErrorKind::WouldBlock,
+        }
+    }
+}
--- /dev/null
+++ b/crates/soak/src/clients/mod.rs
@@ -0,0 +1,188 @@
+//! Stand-in clients, most of them well-behaved.
+
+mod behavior;
+mod connection;
+mod request;
+
+use std::io;
+use std::sync::atomic::{AtomicU64, Ordering::SeqCst};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, Instant};
+
+use tokio::time::{sleep, timeout};
+
+use crate::history::{Recorder, Request, RequestOutcome};
+use crate::proxy::Proxy;
+use behavior::RequestBehavior;
+use connection::Connection;
+use request::PlannedRequest;
+
+pub use behavior::ClientBehavior;
+
+/// Mean pause between the requests of a client.
+const MEAN_PAUSE: Duration = Duration::from_millis(250);
+/// How long a response is still waited for after its time, to see whether it comes at all.
+const EXTRA_WAIT: Duration = Duration::from_millis(1500);
+/// How long the body of a response may take.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a slow reader waits between head and body.
+const SLOW_READ_PAUSE: Duration = Duration::from_millis(300);
+/// How long a client that stalls waits for the proxy to close.
+const STALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// A client cancels before this time, in milliseconds.
+const MAX_CANCEL_DELAY_MS: u64 = 300;
+
+/// Gives each request a unique id.
+#[derive(Default)]
+pub struct RequestIds(AtomicU64);
+
+impl RequestIds {
+    fn next(&self) -> String {
+        format!("r-{:x}", self.0.fetch_add(1, SeqCst))
+    }
+}
+
+/// A client of one proxy.
+pub struct Client {
+    /// The proxy that it sends requests to.
+    pub proxy: Arc<Proxy>,
+    /// Where it records what it observes.
+    pub recorder: Arc<Recorder>,
+    /// Where its request ids come from.
+    pub ids: Arc<RequestIds>,
+    /// What it does at present.
+    pub behavior: Arc<Mutex<ClientBehavior>>,
+}
+
+impl Client {
+    /// Sends requests for ever.
+    pub async fn run(self) {
+        let mut idle: Option<Connection> = None;
+        loop {
+            sleep(MEAN_PAUSE.mul_f64(2.0 * fastrand::f64())).await;
+            let reusable = idle.take().filter(|connection| !connection.is_closed());
+            let connection = match reusable {
+                Some(connection) => Some(connection),
+                None => self.connect().await.ok(),
+            };
+            if let Some(connection) = connection {
+                idle = self.exchange(connection).await;
+            }
+        }
+    }
+
+    async fn connect(&self) -> io::Result<Connection> {
+        if !self.proxy.accepts() {
+            return Err(io::ErrorKind::NotConnected.into());
+        }
+        Connection::open(self.proxy.spec.listen).await
+    }
+
+    fn plan_request(&self) -> PlannedRequest {
+        let behavior = *self.behavior.lock().unwrap_or_else(PoisonError::into_inner);
+        PlannedRequest::random(self.ids.next(), behavior)
+    }
+
+    /// Sends a request and treats it as planned; returns the connection if it can be reused.
+    async fn exchange(&self, mut connection: Connection) -> Option<Connection> {
+        let request = self.plan_request();
+        self.record_request(&request, connection.is_reused());
+        if request.behavior == RequestBehavior::Stall {
+            return self.stall(connection, &request).await;
+        }
+        self.send(&mut connection, &request).await.ok()?;
+        match request.behavior {
+            RequestBehavior::Cancel => {
+                sleep(Duration::from_millis(fastrand::u64(0..MAX_CANCEL_DELAY_MS))).await;
+                self.record_cancelled(&request);
+                None
+            }
+            RequestBehavior::Pipeline => self.pipeline(connection, &request).await,
+            RequestBehavior::Wait | RequestBehavior::ReadSlowly | RequestBehavior::Stall => {
+                self.receive(connection, &request).await
+            }
+        }
+    }
+
+    async fn send(&self, connection: &mut Connection, request: &PlannedRequest) -> io::Result<()> {
+        connection.send(&request.to_bytes()).await?;
+        self.recorder.update_request(&request.id, |request| request.sent_at = Some(Instant::now()));
+        Ok(())
+    }
+
+    /// Sends a second request behind the first and waits for both.
+    async fn pipeline(&self, mut connection: Connection, first: &PlannedRequest) -> Option<Connection> {
+        let mut second = self.plan_request();
+        second.behavior = RequestBehavior::Wait;
+        second.long_response = false;
+        self.record_request(&second, true);
+        let _ = self.send(&mut connection, &second).await; // a failure shows at the first response
+        let Some(connection) = self.receive(connection, first).await else {
+            // The second has not been read, or is given up with the connection.
+            self.record_cancelled(&second);
+            return None;
+        };
+        self.receive(connection, &second).await
+    }
+
+    /// Waits for the response; returns the connection if it can be reused.
+    async fn receive(&self, mut connection: Connection, request: &PlannedRequest) -> Option<Connection> {
+        let limit = request.timeout + EXTRA_WAIT;
+        let head = match timeout(limit, connection.reader.read_head()).await {
+            Err(_) => {
+                self.recorder.record_outcome(&request.id, RequestOutcome::Unanswered);
+                return None;
+            }
+            Ok(Ok(Some(head))) => head,
+            Ok(Ok(None) | Err(_)) => {
+                let outcome = RequestOutcome::Closed { at: Instant::now() };
+                self.recorder.record_outcome(&request.id, outcome);
+                return None;
+            }
+        };
+        if request.behavior == RequestBehavior::ReadSlowly {
+            sleep(SLOW_READ_PAUSE).await;
+        }
+        let body = timeout(BODY_TIMEOUT, connection.reader.skip_body(&head)).await;
+        let at = Instant::now();
+        let is_complete = matches!(body, Ok(Ok(_)));
+        let outcome = if is_complete {
+            RequestOutcome::Answered { status: head.status(), at }
+        } else {
+            RequestOutcome::Broken { at }
+        };
+        self.recorder.record_outcome(&request.id, outcome);
+        (is_complete && !head.closes()).then_some(connection)
+    }
+
+    /// Sends a part of a request and waits until the proxy closes.
+    async fn stall(&self, mut connection: Connection, request: &PlannedRequest) -> Option<Connection> {
+        let bytes = request.to_bytes();
+        let part = fastrand::usize(1..bytes.len());
+        connection.send_part(&bytes[..part]).await.ok()?;
+        if timeout(STALL_TIMEOUT, connection.reader.read_head()).await.is_err() {
+            // It never was a complete request, but the proxy has to end it.
+            self.recorder.record_outcome(&request.id, RequestOutcome::Unanswered);
+        }
+        None
+    }
+
+    fn record_request(&self, planned: &PlannedRequest, connection_reused: bool) {
+        let request = Request {
+            proxy: self.proxy.spec.index,
+            class: planned.class,
+            timeout: planned.timeout,
+            started_at: Instant::now(),
+            sent_at: None,
+            connection_reused,
+            reads_slowly: planned.long_response,
+            cancelled_at: None,
+            outcome: None,
+        };
+        self.recorder.history().requests.insert(planned.id.clone(), request);
+    }
+
+    fn record_cancelled(&self, request: &PlannedRequest) {
+        self.recorder.update_request(&request.id, |request| request.cancelled_at = Some(Instant::now()));
+    }
+}
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-in discovery, one listener for each proxy, so that it is known what was told to whom.
+//! Stand-in discovery with a listener for each proxy, so that it is known what was published to whom.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,70 +13,89 @@
 use tokio::task::{JoinHandle, JoinSet};
 
 use crate::backend::Backend;
-use crate::http::Reader;
+use crate::http::MessageReader;
 
-/// An empty line comes this often while nothing changes.
-const HEARTBEAT: Duration = Duration::from_millis(1900);
-/// How long a slow discovery takes for an answer.
-const SLOW_ANSWER: Duration = Duration::from_millis(700);
+/// An empty line is sent this often while nothing changes.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(1900);
+/// How long a slow discovery takes for a response.
+const SLOW_RESPONSE: Duration = Duration::from_millis(700);
+/// Between checks whether it is still silent.
+const SILENCE_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// Length of a listener's accept queue.
+const BACKLOG: u32 = 256;
 
 /// How discovery behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mode {
-    /// As it should.
+pub enum DiscoveryMode {
+    /// It answers.
     #[default]
     Up,
-    /// It takes its time for each answer.
+    /// It answers late.
     Slow,
-    /// Connections come up, and watches stay open, but nothing is said.
+    /// It accepts connections and keeps watches open, but sends nothing.
     Silent,
-    /// It turns calls away.
+    /// It rejects calls.
     Busy,
 }
 
-/// The list and its versions.
+/// An entry of the endpoint list.
+struct Entry {
+    /// The version of its last change.
+    version: u64,
+    /// Its form on the wire.
+    json: Value,
+}
+
+/// The endpoint list and how it is published.
 #[derive(Default)]
-struct List {
+struct State {
     version: u64,
-    /// Entries by name, with the version of their last change.
-    entries: BTreeMap<String, (u64, Value)>,
-    mode: Mode,
-    /// Watches that were opened under another number are to end.
+    /// By name.
+    entries: BTreeMap<String, Entry>,
+    mode: DiscoveryMode,
+    /// Watches that were opened in another epoch end.
     epoch: u64,
 }
 
-impl List {
-    fn since(&self, after: Option<u64>) -> String {
-        let changed = self.entries.values().filter(|(version, _)| after.is_none_or(|after| *version > after));
-        let listed = changed.filter(|(_, entry)| after.is_some() || entry["health"] != "removed");
-        let hosts: Vec<&Value> = listed.map(|(_, entry)| entry).collect();
+impl State {
+    /// The changes after a version, or the full list.
+    fn changes_since(&self, after: Option<u64>) -> String {
+        let changed = self.entries.values().filter(|entry| after.is_none_or(|after| entry.version > after));
+        let listed = changed.filter(|entry| after.is_some() || entry.json["health"] != "removed");
+        let hosts: Vec<&Value> = listed.map(|entry| &entry.json).collect();
         json!({"seq": self.version, "whole": after.is_none(), "hosts": hosts}).to_string()
     }
 }
 
-/// What discovery says of a backend.
+/// A listener and the task that serves it.
+struct Listener {
+    address: SocketAddr,
+    task: JoinHandle<()>,
+}
+
+/// The state of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     /// It takes requests.
     Up,
     /// It takes no new ones.
     Draining,
-    /// It has left.
+    /// It has been removed.
     Removed,
 }
 
 /// The discovery of one fleet.
 pub struct Discovery {
-    list: Mutex<List>,
+    state: Mutex<State>,
     changes: watch::Sender<u64>,
-    listeners: Mutex<Vec<(SocketAddr, JoinHandle<()>)>>,
+    listeners: Mutex<Vec<Listener>>,
 }
 
 impl Discovery {
     /// Discovery without backends or listeners.
     pub fn new() -> Arc<Self> {
         let (changes, _) = watch::channel(0);
-        Arc::new(Discovery { list: Mutex::default(), changes, listeners: Mutex::default() })
+        Arc::new(Discovery { state: Mutex::default(), changes, listeners: Mutex::default() })
     }
 
     /// Opens one more listener.
@@ -87,70 +106,70 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let task = tokio::spawn(self.clone().serve(listener));
-        self.listeners().push((address, task));
+        self.listeners().push(Listener { address, task });
         Ok(address)
     }
 
-    /// Lists a backend, with the wall-clock time of its start if it has just started.
-    pub fn tell(&self, backend: &Backend, health: Health, started: Option<SystemTime>) {
-        let name = name(backend.number);
+    /// Publishes a backend, with the wall-clock time of its start if it has just started.
+    pub fn publish(&self, backend: &Backend, health: Health, started_at: Option<SystemTime>) {
+        let name = backend_name(backend.index);
         let health = match health {
             Health::Up => "up",
             Health::Draining => "draining",
             Health::Removed => "removed",
         };
-        let mut list = self.list();
-        list.version += 1;
-        let version = list.version;
-        let before = list.entries.get(&name).map_or(json!(0), |(_, entry)| entry["born_ms"].clone());
-        let born = started.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
-        let born = born.map_or(before, |at| json!(at.as_millis() as u64));
-        let entry = json!({"host": name, "dial": backend.address, "site": "a", "class": "k",
-            "block": backend.cell, "health": health, "share": 1.0, "born_ms": born});
-        list.entries.insert(name, (version, entry));
+        let mut state = self.state();
+        state.version += 1;
+        let version = state.version;
+        let old_start = state.entries.get(&name).map_or(json!(0), |entry| entry.json["born_ms"].clone());
+        let since_epoch = started_at.and_then(|at| at.duration_since(UNIX_EPOCH).ok());
+        let start = since_epoch.map_or(old_start, |time| json!(time.as_millis() as u64));
+        let json = json!({"host": name, "dial": backend.address, "site": "a", "class": "k",
+            "block": backend.cell, "health": health, "share": 1.0, "born_ms": start});
+        state.entries.insert(name, Entry { version, json });
         self.changes.send_replace(version);
     }
 
-    /// From now on it behaves so. Watches that are open go on, or fall silent.
-    pub fn set_mode(&self, mode: Mode) {
-        self.list().mode = mode;
+    /// Changes how it behaves. Open watches go on, or become silent.
+    pub fn set_mode(&self, mode: DiscoveryMode) {
+        self.state().mode = mode;
     }
 
     /// Ends all watches.
     pub fn reset_watches(&self) {
-        let mut list = self.list();
-        list.epoch += 1;
-        self.changes.send_replace(list.version);
+        let mut state = self.state();
+        state.epoch += 1;
+        self.changes.send_replace(state.version);
     }
 
-    /// It goes down: connections are refused and watches are reset.
+    /// Takes it down: connections are refused and watches are reset.
     pub fn stop(&self) {
-        self.listeners().iter().for_each(|(_, task)| task.abort());
+        self.listeners().iter().for_each(|listener| listener.task.abort());
     }
 
-    /// It comes back.
+    /// Brings it back at the same addresses.
     ///
     /// # Errors
     /// If a port can't be had again.
     pub async fn resume(self: &Arc<Self>) -> io::Result<()> {
-        let before = std::mem::take(&mut *self.listeners());
-        for (address, task) in before {
+        let stopped = std::mem::take(&mut *self.listeners());
+        for Listener { address, task } in stopped {
             task.abort();
-            let _ = task.await; // then its port is free
+            let _ = task.await; // its port is free once it has ended
             let socket = TcpSocket::new_v4()?;
             socket.set_reuseaddr(true)?;
             socket.bind(address)?;
-            let task = tokio::spawn(self.clone().serve(socket.listen(256)?));
-            self.listeners().push((address, task));
+            let task = tokio::spawn(self.clone().serve(socket.listen(BACKLOG)?));
+            self.listeners().push(Listener { address, task });
         }
         Ok(())
     }
 
-    fn list(&self) -> MutexGuard<'_, List> {
-        self.list.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn listeners(&self) -> MutexGuard<'_, Vec<(SocketAddr, JoinHandle<()>)>> {
+    fn listeners(&self) -> MutexGuard<'_, Vec<Listener>> {
         self.listeners.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -164,59 +183,76 @@
         }
     }
 
-    /// Answers one call: a watch that lasts until the connection or its epoch ends.
+    /// Answers one call with a watch that lasts until its connection or its epoch ends.
     async fn answer(&self, stream: TcpStream) -> io::Result<()> {
         let (input, mut output) = stream.into_split();
-        let Some(head) = Reader::new(input).head().await? else { return Ok(()) };
-        let mut after = version_after(&head.first);
+        let Some(head) = MessageReader::new(input).read_head().await? else { return Ok(()) };
         let mut changes = self.changes.subscribe();
-        let (mode, epoch) = {
-            let list = self.list();
-            (list.mode, list.epoch)
-        };
+        let (mode, epoch) = self.mode_and_epoch();
         match mode {
-            Mode::Up | Mode::Silent => {}
-            Mode::Slow => tokio::time::sleep(SLOW_ANSWER).await,
-            Mode::Busy => {
+            DiscoveryMode::Up | DiscoveryMode::Silent => {}
+            DiscoveryMode::Slow => tokio::time::sleep(SLOW_RESPONSE).await,
+            DiscoveryMode::Busy => {
                 return output.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
             }
         }
-        self.loud().await;
+        self.wait_while_silent().await;
         output.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        let mut first = true;
+        let mut watch = Watch { epoch, sent_version: resume_version(&head.first_line), is_first_line: true };
         loop {
             changes.borrow_and_update();
-            let line = {
-                let list = self.list();
-                if list.epoch != epoch {
-                    return Ok(());
-                }
-                let news = first || after.is_none_or(|after| list.version > after);
-                let line = if news { list.since(after) } else { String::new() };
-                after = Some(list.version);
-                line + "\n"
-            };
-            first = false;
+            let Some(line) = watch.next_line(&self.state()) else { return Ok(()) };
             output.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await?;
-            let _ = tokio::time::timeout(HEARTBEAT, changes.changed()).await; // then a heartbeat is due
-            self.loud().await;
+            let _ = tokio::time::timeout(HEARTBEAT_PERIOD, changes.changed()).await; // a heartbeat is due then
+            self.wait_while_silent().await;
+        }
+    }
+
+    fn mode_and_epoch(&self) -> (DiscoveryMode, u64) {
+        let state = self.state();
+        (state.mode, state.epoch)
+    }
+
+    async fn wait_while_silent(&self) {
+        while self.state().mode == DiscoveryMode::Silent {
+            tokio::time::sleep(SILENCE_CHECK_PERIOD).await;
         }
     }
+}
 
-    /// Waits until it is not silent.
-    async fn loud(&self) {
-        while self.list().mode == Mode::Silent {
-            tokio::time::sleep(Duration::from_millis(10)).await;
+/// An open watch of one proxy.
+struct Watch {
+    epoch: u64,
+    /// The version that the proxy has.
+    sent_version: Option<u64>,
+    is_first_line: bool,
+}
+
+impl Watch {
+    /// The next line: changes, or a heartbeat. `None` if the watch has been reset.
+    fn next_line(&mut self, state: &State) -> Option<String> {
+        if state.epoch != self.epoch {
+            return None;
+        }
+        let has_changes = self.sent_version.is_none_or(|sent| state.version > sent);
+        let mut line = String::new();
+        if self.is_first_line || has_changes {
+            line = state.changes_since(self.sent_version);
         }
+        line.push('\n');
+        self.sent_version = Some(state.version);
+        self.is_first_line = false;
+        Some(line)
     }
 }
 
 /// The name under which a backend is listed.
-pub fn name(backend: usize) -> String {
+pub fn backend_name(backend: usize) -> String {
     format!("s-{backend}")
 }
 
-fn version_after(line: &str) -> Option<u64> {
-    let (_, rest) = line.split_once("after=")?;
-    rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
+/// The version from which a watch resumes, out of its request line.
+fn resume_version(request_line: &str) -> Option<u64> {
+    let (_, rest) = request_line.split_once("after=")?;
+    rest.split(|character: char| !character.is_ascii_digit()).next()?.parse().ok()
 }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,40 +1,40 @@
-//! As much of HTTP/1.1 as the stand-ins need.
+//! The part of HTTP/1.1 that the stand-ins need.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt as _};
 
-/// Longest head that is read.
-const MAX_HEAD: usize = 64 << 10;
+/// Longest head that is read, in bytes.
+const MAX_HEAD_LENGTH: usize = 64 << 10;
 /// Bytes that are read at a time.
-const PIECE: usize = 64 << 10;
+const READ_SIZE: usize = 64 << 10;
 
 /// A message without its body.
 #[derive(Clone, Debug, Default)]
 pub struct Head {
-    /// The first line.
-    pub first: String,
+    /// The request line or the status line.
+    pub first_line: String,
     headers: Vec<(String, String)>,
 }
 
 impl Head {
     fn parse(text: &str) -> Self {
         let mut lines = text.split("\r\n");
-        let first = lines.next().unwrap_or_default().to_owned();
+        let first_line = lines.next().unwrap_or_default().to_owned();
         let headers = lines.filter_map(|line| line.split_once(':'));
         let headers =
             headers.map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_owned())).collect();
-        Head { first, headers }
+        Head { first_line, headers }
     }
 
     /// The value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// The status of an answer; 0 where there is none.
+    /// The status of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.first_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
     /// Whether the connection ends with this message.
@@ -44,57 +44,66 @@
 }
 
 /// Reads messages from one side of a connection.
-pub struct Reader<R> {
+pub struct MessageReader<R> {
     stream: R,
     unread: Vec<u8>,
 }
 
-impl<R: AsyncRead + Unpin> Reader<R> {
-    /// Nothing has been read yet.
+impl<R: AsyncRead + Unpin> MessageReader<R> {
+    /// A reader that has read nothing yet.
     pub fn new(stream: R) -> Self {
-        Reader { stream, unread: Vec::new() }
+        MessageReader { stream, unread: Vec::new() }
     }
 
-    /// Waits until there is something to read; whether there is, and no end.
-    pub async fn begun(&mut self) -> io::Result<bool> {
+    /// Waits until there is something to read; returns whether there is before the connection ends.
+    ///
+    /// # Errors
+    /// If reading fails.
+    pub async fn wait_for_data(&mut self) -> io::Result<bool> {
         Ok(!self.unread.is_empty() || self.fill().await? > 0)
     }
 
     /// Reads a head; `None` if the connection ends before one has begun.
-    pub async fn head(&mut self) -> io::Result<Option<Head>> {
+    ///
+    /// # Errors
+    /// If reading fails, or if the head is too long or cut short.
+    pub async fn read_head(&mut self) -> io::Result<Option<Head>> {
         loop {
             if let Some(end) = find(&self.unread, b"\r\n\r\n") {
                 let head = Head::parse(&String::from_utf8_lossy(&self.unread[..end]));
                 self.unread.drain(..end + 4);
                 return Ok(Some(head));
             }
-            if self.unread.len() > MAX_HEAD {
+            if self.unread.len() > MAX_HEAD_LENGTH {
                 return Err(io::ErrorKind::InvalidData.into());
             }
-            if self.fill().await? == 0 {
-                return if self.unread.is_empty() {
-                    Ok(None)
-                } else {
-                    Err(io::ErrorKind::UnexpectedEof.into())
-                };
+            if self.unread.is_empty() {
+                if self.fill().await? == 0 {
+                    return Ok(None);
+                }
+            } else {
+                self.fill_or_fail().await?;
             }
         }
     }
 
     /// Reads the body that belongs to a head and drops it; returns its length.
-    pub async fn body(&mut self, head: &Head) -> io::Result<usize> {
+    ///
+    /// # Errors
+    /// If reading fails, or if the body is malformed or cut short.
+    pub async fn skip_body(&mut self, head: &Head) -> io::Result<usize> {
         if head.header("transfer-encoding").is_some() {
-            return self.chunked_body().await;
+            return self.skip_chunked_body().await;
         }
         let length = head.header("content-length").and_then(|length| length.parse().ok()).unwrap_or(0);
         self.skip(length).await?;
         Ok(length)
     }
 
-    async fn chunked_body(&mut self) -> io::Result<usize> {
+    async fn skip_chunked_body(&mut self) -> io::Result<usize> {
         let mut total = 0;
         loop {
-            let line = self.line().await?;
+            let line = self.read_line().await?;
             let size = usize::from_str_radix(line.trim(), 16).map_err(|_| io::ErrorKind::InvalidData)?;
             self.skip(size + 2).await?;
             total += size;
@@ -104,7 +113,7 @@
         }
     }
 
-    async fn line(&mut self) -> io::Result<String> {
+    async fn read_line(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = find(&self.unread, b"\r\n") {
                 let line = String::from_utf8_lossy(&self.unread[..end]).into_owned();
@@ -128,11 +137,14 @@
     }
 
     async fn fill_or_fail(&mut self) -> io::Result<()> {
-        if self.fill().await? == 0 { Err(io::ErrorKind::UnexpectedEof.into()) } else { Ok(()) }
+        match self.fill().await? {
+            0 => Err(io::ErrorKind::UnexpectedEof.into()),
+            _ => Ok(()),
+        }
     }
 
     async fn fill(&mut self) -> io::Result<usize> {
-        self.unread.reserve(PIECE);
+        self.unread.reserve(READ_SIZE);
         self.stream.read_buf(&mut self.unread).await
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,19 +1,25 @@
-//! Soak test: real proxies on loopback with stand-in clients, backends and discovery. Troubles drawn from a seed overlap in
-//! time, and what the proxies promise is judged from outside.
+//! Soak test: real proxies on loopback with stand-in clients, backends and discovery, under overlapping faults from a seeded
+//! random stream. The invariants that proxies have to keep are checked from outside.
 //!
-//! A [`deployment::run`] plays one small fleet: `proxy` runs its processes, `backend`, `discovery` and `clients` stand in for
-//! the rest of the world, `troubles` draws and applies what goes wrong, `ledger` keeps what was seen, and `judge` holds it
-//! against the invariants.
+//! [`run::run`] runs one small fleet:
+//!
+//! - [`proxy`] runs its processes; [`backend`], [`discovery`] and [`clients`] stand in for the rest of the platform;
+//! - [`fleet`] puts them together, and [`history`] records what they observe;
+//! - [`fault`] chooses faults, as values; [`inject`] injects them into a fleet, some by [`syscall_faults`];
+//! - [`invariants`] checks the history, and [`report`] sums it up.
 
 pub mod admin;
 pub mod backend;
 pub mod clients;
-pub mod deployment;
 pub mod discovery;
-pub mod faults;
+pub mod fault;
+pub mod fleet;
+pub mod history;
 pub mod http;
-pub mod judge;
-pub mod ledger;
+pub mod inject;
+pub mod invariants;
 pub mod proxy;
+pub mod report;
+pub mod run;
 pub mod settings;
-pub mod troubles;
+pub mod syscall_faults;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,23 +1,28 @@
-//! `leadrelay-soak`: plays small fleets of real proxies, many seeds side by side, and tells what they broke.
+//! `leadrelay-soak`: runs small fleets of real proxies, many seeds side by side, and reports violated invariants.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 use anyhow::Context as _;
 use clap::Parser;
-use leadrelay_soak::deployment::{Plan, run};
-use leadrelay_soak::judge::Report;
+use leadrelay_soak::proxy::LaunchOptions;
+use leadrelay_soak::report::Report;
+use leadrelay_soak::run::{Plan, run};
 use tokio::task::JoinSet;
 
-/// A promise was broken.
-const BROKEN: u8 = 1;
-/// The command line has to change, or a fleet could not be played.
+/// Exit code: an invariant was violated.
+const VIOLATED: u8 = 1;
+/// Exit code: the command line has to change, or a fleet could not be run.
 const USAGE: u8 = 2;
+/// Violations of a fleet that are shown.
+const MAX_SHOWN_VIOLATIONS: usize = 40;
 
-/// Real proxies on loopback under overlapping troubles.
+/// Real proxies on loopback under overlapping faults.
 #[derive(Parser)]
-#[command(after_help = "Exit codes: 0 nothing was broken, 1 a promise was broken, 2 it could not be played.")]
+#[command(
+    after_help = "Exit codes: 0 no invariant was violated, 1 an invariant was violated, 2 a fleet could not be run."
+)]
 struct Arguments {
     /// The proxy.
     #[arg(long, default_value = "target/release/leadrelay")]
@@ -31,23 +36,45 @@
     /// How many fleets run at once, of two or three proxies each.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=40))]
     at_once: u64,
-    /// For how many seconds troubles begin.
+    /// For how many seconds new faults are injected.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
     /// What proxies log.
     #[arg(long, default_value = "info")]
     log: String,
-    /// Where files go, those of fleets that broke nothing only with this.
+    /// Where files go; without it, only those of fleets with violations are kept.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
 
+impl Arguments {
+    fn plan(&self, seed: u64, program: &Path, folder: &Path) -> Plan {
+        Plan {
+            seed,
+            duration: Duration::from_secs(self.seconds),
+            launch: LaunchOptions {
+                program: program.to_owned(),
+                folder: folder.join(format!("seed-{seed}")),
+                log_filter: self.log.clone(),
+            },
+        }
+    }
+
+    /// Where files go.
+    fn folder(&self) -> std::io::Result<PathBuf> {
+        match &self.keep {
+            Some(folder) => std::path::absolute(folder),
+            None => Ok(std::env::temp_dir().join(format!("leadrelay-soak-{}", std::process::id()))),
+        }
+    }
+}
+
 #[tokio::main]
 async fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    match play(&arguments).await {
+    match run_all(&arguments).await {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
+        Ok(false) => ExitCode::from(VIOLATED),
         Err(error) => {
             eprintln!("leadrelay-soak: {error:#}");
             ExitCode::from(USAGE)
@@ -55,43 +82,40 @@
     }
 }
 
-/// Plays all seeds; whether nothing was broken.
-async fn play(arguments: &Arguments) -> anyhow::Result<bool> {
+/// Runs all seeds; returns whether no invariant was violated.
+async fn run_all(arguments: &Arguments) -> anyhow::Result<bool> {
     let program = std::path::absolute(&arguments.program)?;
     anyhow::ensure!(program.is_file(), "there is no proxy at {}", program.display());
-    let folder = match &arguments.keep {
-        Some(folder) => std::path::absolute(folder)?,
-        None => std::env::temp_dir().join(format!("leadrelay-soak-{}", std::process::id())),
-    };
-    let plan = |seed| Plan {
-        seed,
-        span: Duration::from_secs(arguments.seconds),
-        program: program.clone(),
-        folder: folder.join(format!("seed-{seed}")),
-        log_filter: arguments.log.clone(),
-    };
+    let folder = arguments.folder()?;
     let mut seeds = arguments.seed..arguments.seed.saturating_add(arguments.fleets);
     let mut running = JoinSet::new();
-    let (mut played, mut broken) = (0, 0);
+    let mut finished = 0;
+    let mut with_violations = 0;
     loop {
         while (running.len() as u64) < arguments.at_once
             && let Some(seed) = seeds.next()
         {
-            let plan = plan(seed);
+            let plan = arguments.plan(seed, &program, &folder);
             running.spawn(async move { (run(&plan).await, plan) });
         }
-        let Some(end) = running.join_next().await else { break };
-        let (report, plan) = end?;
+        let Some(result) = running.join_next().await else { break };
+        let (report, plan) = result?;
         let report = report.with_context(|| format!("seed {} could not be played", plan.seed))?;
         show(&plan, &report);
-        (played, broken) = (played + 1, broken + usize::from(!report.violations.is_empty()));
-        if report.violations.is_empty() && arguments.keep.is_none() {
-            std::fs::remove_dir_all(&plan.folder)
-                .with_context(|| format!("can't remove {}", plan.folder.display()))?;
+        finished += 1;
+        if !report.violations.is_empty() {
+            with_violations += 1;
+        } else if arguments.keep.is_none() {
+            remove_files(&plan)?;
         }
     }
-    println!("{played} fleets played, {broken} with broken promises");
-    Ok(broken == 0)
+    println!("{finished} fleets played, {with_violations} with broken promises");
+    Ok(with_violations == 0)
+}
+
+fn remove_files(plan: &Plan) -> anyhow::Result<()> {
+    let folder = &plan.launch.folder;
+    std::fs::remove_dir_all(folder).with_context(|| format!("can't remove {}", folder.display()))
 }
 
 fn show(plan: &Plan, report: &Report) {
@@ -100,12 +124,12 @@
     if report.violations.is_empty() {
         return;
     }
-    for (at, what) in &report.troubles {
-        println!("  {:6.2} s  {what}", at.as_secs_f64());
+    for fault in &report.faults {
+        println!("  {:6.2} s  {}", fault.offset.as_secs_f64(), fault.description);
     }
-    for violation in report.violations.iter().take(40) {
+    for violation in report.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         let at = report.seconds(violation).map_or_else(String::new, |at| format!("{at:.3} s "));
-        println!("  BROKEN {:?} {at}{}", violation.promise, violation.what);
+        println!("  BROKEN {:?} {at}{}", violation.invariant, violation.description);
     }
-    println!("  files in {}", plan.folder.display());
+    println!("  files in {}", plan.launch.folder.display());
 }
--- /dev/null
+++ b/crates/soak/src/proxy/mod.rs
@@ -0,0 +1,242 @@
+//! One proxy of a fleet, and the processes that it runs one after another: started, terminated, killed and upgraded.
+
+mod launch;
+mod monitor;
+mod process;
+
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Duration;
+
+use anyhow::Context as _;
+use rustix::process::{Pid, Signal};
+use tokio::time::sleep;
+
+use crate::admin;
+use crate::history::{ProcessEvent, Recorder};
+use crate::settings::ProxySpec;
+use crate::syscall_faults::SyscallFaults;
+use launch::{broken_config, config_after_reloads};
+use monitor::Monitor;
+use process::Process;
+
+pub use launch::LaunchOptions;
+
+/// A process has to be ready within this time.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// A successor has to be ready within this time.
+const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
+/// For so long after SIGTERM the platform still sends new connections.
+const FRONT_DELAY: Duration = Duration::from_millis(300);
+
+/// One proxy of a fleet.
+pub struct Proxy {
+    /// Its position and its addresses.
+    pub spec: ProxySpec,
+    /// What fails in its processes.
+    pub syscall_faults: SyscallFaults,
+    options: LaunchOptions,
+    /// The platform's listening socket, if it passes one.
+    passed: Option<TcpListener>,
+    recorder: Arc<Recorder>,
+    /// The newest last.
+    processes: Mutex<Vec<Arc<Process>>>,
+    accepts: AtomicBool,
+    reloads: AtomicUsize,
+    /// Held while its processes are changed.
+    lifecycle: tokio::sync::Mutex<()>,
+}
+
+impl Proxy {
+    /// A proxy without a process.
+    ///
+    /// # Errors
+    /// If its folder can't be created.
+    pub fn new(
+        spec: ProxySpec, options: &LaunchOptions, passed: Option<TcpListener>, recorder: Arc<Recorder>,
+    ) -> anyhow::Result<Arc<Self>> {
+        let options = options.for_proxy(spec.index)?;
+        Ok(Arc::new(Proxy {
+            spec,
+            syscall_faults: SyscallFaults::new(&options.faults_file())?,
+            options,
+            passed,
+            recorder,
+            processes: Mutex::default(),
+            accepts: AtomicBool::new(false),
+            reloads: AtomicUsize::new(0),
+            lifecycle: tokio::sync::Mutex::default(),
+        }))
+    }
+
+    /// Whether the platform sends it new connections.
+    pub fn accepts(&self) -> bool {
+        self.accepts.load(SeqCst)
+    }
+
+    /// Whether it can be upgraded: only if its listening socket outlives a process.
+    pub fn can_upgrade(&self) -> bool {
+        self.passed.is_some()
+    }
+
+    /// Starts a process and waits until it is ready.
+    ///
+    /// # Errors
+    /// If it does not start, or is not ready in time.
+    pub async fn start(&self) -> anyhow::Result<()> {
+        let _lifecycle = self.lifecycle.lock().await;
+        self.start_process().await
+    }
+
+    async fn start_process(&self) -> anyhow::Result<()> {
+        let process = self.spawn()?;
+        self.wait_ready(&process, READY_TIMEOUT).await?;
+        self.accepts.store(true, SeqCst);
+        Ok(())
+    }
+
+    /// Terminates the process, and starts another one once it has exited.
+    ///
+    /// # Errors
+    /// As [`Proxy::start`].
+    pub async fn restart(&self) -> anyhow::Result<()> {
+        let _lifecycle = self.lifecycle.lock().await;
+        let Some(process) = self.newest() else { return Ok(()) };
+        self.record(ProcessEvent::Terminated);
+        process.terminate();
+        sleep(FRONT_DELAY).await;
+        self.accepts.store(false, SeqCst);
+        self.wait_for_exit(&process).await;
+        self.start_process().await
+    }
+
+    /// Kills all processes, and starts another one some time later.
+    ///
+    /// # Errors
+    /// As [`Proxy::start`].
+    pub async fn kill(&self, down_time: Duration) -> anyhow::Result<()> {
+        let _lifecycle = self.lifecycle.lock().await;
+        let processes = self.processes().clone();
+        self.accepts.store(false, SeqCst);
+        self.record(ProcessEvent::Killed);
+        for process in processes.iter().filter(|process| process.is_running()) {
+            process.kill();
+        }
+        sleep(down_time).await;
+        self.start_process().await
+    }
+
+    /// Starts a successor beside the process, and terminates that one once the successor is ready.
+    ///
+    /// # Errors
+    /// As [`Proxy::start`].
+    pub async fn upgrade(&self) -> anyhow::Result<()> {
+        let _lifecycle = self.lifecycle.lock().await;
+        let Some(old) = self.newest() else { return Ok(()) };
+        let new = self.spawn()?;
+        self.wait_ready(&new, UPGRADE_TIMEOUT).await?;
+        self.record(ProcessEvent::Terminated);
+        old.terminate();
+        self.wait_for_exit(&old).await;
+        Ok(())
+    }
+
+    /// Writes another configuration, or a broken one, and sends SIGHUP.
+    ///
+    /// # Errors
+    /// If the file can't be written.
+    pub async fn reload(&self, broken: bool) -> io::Result<()> {
+        let Some(process) = self.newest() else { return Ok(()) };
+        let reloads = self.reloads.fetch_add(1, SeqCst);
+        let config = self.config(process.admin);
+        let text = if broken { broken_config(&config, reloads) } else { &config };
+        std::fs::write(self.options.config_file(), text)?;
+        process.signal(Signal::HUP);
+        Ok(())
+    }
+
+    /// Stops the process for a while, without its knowledge.
+    pub async fn pause(&self, duration: Duration) {
+        let Some(process) = self.newest() else { return };
+        process.signal(Signal::STOP);
+        sleep(duration).await;
+        process.signal(Signal::CONT);
+    }
+
+    /// Makes a call to the admin address of the newest process.
+    ///
+    /// # Errors
+    /// If there is none, or it does not answer.
+    pub async fn call(&self, method_and_path: &str) -> io::Result<(u16, String)> {
+        let process = self.newest().ok_or(io::ErrorKind::NotConnected)?;
+        admin::call(process.admin, method_and_path).await
+    }
+
+    /// Kills all processes at the end of a run.
+    pub fn stop(&self) {
+        self.accepts.store(false, SeqCst);
+        for process in self.processes().iter() {
+            process.kill();
+        }
+    }
+
+    fn processes(&self) -> MutexGuard<'_, Vec<Arc<Process>>> {
+        self.processes.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn newest(&self) -> Option<Arc<Process>> {
+        self.processes().iter().rev().find(|process| process.is_running()).cloned()
+    }
+
+    fn record(&self, event: ProcessEvent) {
+        self.recorder.record_process(self.spec.index, event);
+    }
+
+    fn config(&self, admin: SocketAddr) -> String {
+        config_after_reloads(&self.spec, admin, self.reloads.load(SeqCst))
+    }
+
+    fn spawn(&self) -> anyhow::Result<Arc<Process>> {
+        let admin = free_address()?;
+        std::fs::write(self.options.config_file(), self.config(admin))?;
+        let mut child = self.options.spawn(self.passed.as_ref(), &self.syscall_faults)?;
+        let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32)).context("it has ended at once")?;
+        self.record(ProcessEvent::Started);
+        let process = Arc::new(Process::new(pid, admin));
+        self.processes().push(process.clone());
+        if let Some(log) = child.stderr.take() {
+            let path = self.options.log_file(pid.as_raw_nonzero().get());
+            tokio::spawn(monitor::copy_log(log, path, self.spec.index, self.recorder.clone()));
+        }
+        let recorder = self.recorder.clone();
+        let monitor = Monitor { proxy: self.spec.index, process: process.clone(), recorder };
+        tokio::spawn(monitor.watch(child));
+        Ok(process)
+    }
+
+    async fn wait_ready(&self, process: &Process, timeout: Duration) -> anyhow::Result<()> {
+        process
+            .wait_ready(timeout)
+            .await
+            .with_context(|| format!("a process of proxy {}", self.spec.index))?;
+        self.record(ProcessEvent::Ready);
+        Ok(())
+    }
+
+    /// Waits until a terminated process has exited; kills it when that takes too long.
+    async fn wait_for_exit(&self, process: &Process) {
+        if process.exit_or_kill().await {
+            self.record(ProcessEvent::Killed);
+        }
+    }
+}
+
+/// An address on loopback that is free at present.
+///
+/// # Errors
+/// If there is none.
+pub fn free_address() -> io::Result<SocketAddr> {
+    TcpListener::bind("127.0.0.1:0")?.local_addr()
+}
--- /dev/null
+++ b/crates/soak/src/proxy/process.rs
@@ -0,0 +1,103 @@
+//! One process of a proxy.
+
+use std::io;
+use std::net::SocketAddr;
+use std::process::ExitStatus;
+use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+use std::time::{Duration, Instant};
+
+use rustix::process::{Pid, Signal, kill_process};
+use tokio::time::sleep;
+
+use crate::admin;
+use crate::history::ProcessEvent;
+use crate::settings::MAX_DEADLINE;
+
+/// SIGKILL follows SIGTERM after the longest deadline and this time.
+const KILL_GRACE: Duration = Duration::from_millis(700);
+/// Between checks whether a process has exited.
+const EXIT_CHECK_PERIOD: Duration = Duration::from_millis(5);
+/// Between health checks of a process that starts.
+const READY_CHECK_PERIOD: Duration = Duration::from_millis(20);
+
+/// A process that runs or has exited.
+pub(super) struct Process {
+    pub(super) pid: Pid,
+    pub(super) admin: SocketAddr,
+    /// Whether it was sent SIGTERM.
+    terminated: AtomicBool,
+    /// Whether it was sent SIGKILL.
+    killed: AtomicBool,
+    exited: AtomicBool,
+}
+
+impl Process {
+    pub(super) fn new(pid: Pid, admin: SocketAddr) -> Self {
+        Process {
+            pid,
+            admin,
+            terminated: AtomicBool::new(false),
+            killed: AtomicBool::new(false),
+            exited: AtomicBool::new(false),
+        }
+    }
+
+    pub(super) fn signal(&self, signal: Signal) {
+        if self.is_running() {
+            let _ = kill_process(self.pid, signal); // it may have exited just now
+        }
+    }
+
+    pub(super) fn terminate(&self) {
+        self.terminated.store(true, SeqCst);
+        self.signal(Signal::TERM);
+    }
+
+    pub(super) fn kill(&self) {
+        self.killed.store(true, SeqCst);
+        self.signal(Signal::KILL);
+    }
+
+    pub(super) fn is_running(&self) -> bool {
+        !self.exited.load(SeqCst)
+    }
+
+    /// Waits for its exit after SIGTERM and kills it when that takes too long. Returns whether it had to be killed.
+    pub(super) async fn exit_or_kill(&self) -> bool {
+        let end = Instant::now() + MAX_DEADLINE + KILL_GRACE;
+        while self.is_running() && Instant::now() < end {
+            sleep(EXIT_CHECK_PERIOD).await;
+        }
+        let is_late = self.is_running();
+        if is_late {
+            self.kill();
+        }
+        is_late
+    }
+
+    /// Waits until its health check succeeds.
+    pub(super) async fn wait_ready(&self, limit: Duration) -> anyhow::Result<()> {
+        let end = Instant::now() + limit;
+        while Instant::now() < end {
+            anyhow::ensure!(self.is_running(), "it exited before it was ready");
+            if matches!(admin::call(self.admin, "GET /healthcheck").await, Ok((200, _))) {
+                return Ok(());
+            }
+            sleep(READY_CHECK_PERIOD).await;
+        }
+        anyhow::bail!("it is not ready in {limit:?}")
+    }
+
+    /// Takes its exit; returns whether that was requested or a crash.
+    pub(super) fn exited(&self, status: io::Result<ExitStatus>) -> ProcessEvent {
+        self.exited.store(true, SeqCst);
+        if self.killed.load(SeqCst) {
+            return ProcessEvent::Ended;
+        }
+        match status {
+            Ok(status) if status.success() && self.terminated.load(SeqCst) => ProcessEvent::Ended,
+            Ok(status) => ProcessEvent::Crashed(status.to_string()),
+            Err(error) => ProcessEvent::Crashed(error.to_string()),
+        }
+    }
+}
--- /dev/null
+++ b/crates/soak/src/run.rs
@@ -0,0 +1,120 @@
+//! One run of a small fleet: starts it, injects faults, and checks the invariants.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use anyhow::Context as _;
+use fastrand::Rng;
+use tokio::task::{JoinHandle, JoinSet};
+use tokio::time::sleep;
+
+use crate::fault::Fault;
+use crate::fleet::Fleet;
+use crate::history::SchedulingDelay;
+use crate::inject::inject;
+use crate::invariants;
+use crate::proxy::LaunchOptions;
+use crate::report::Report;
+
+/// Without faults, before the first one and after the last.
+const QUIET_PERIOD: Duration = Duration::from_millis(2500);
+/// Longest time between the starts of two faults of one group.
+const MAX_FAULT_OFFSET: Duration = Duration::from_millis(700);
+/// Between one group of faults and the next.
+const GROUP_PERIOD: Duration = Duration::from_millis(2500);
+/// All faults have to end within this time after the last group.
+const FAULT_TIMEOUT: Duration = Duration::from_secs(40);
+/// Between checks whether this process itself is scheduled late.
+const DELAY_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// Shorter delays of this process are not recorded.
+const MIN_RECORDED_DELAY: Duration = Duration::from_millis(15);
+/// The metric by which a proxy counts its own violations.
+const VIOLATIONS_METRIC: &str = "leadrelay_invariant_violations_total";
+
+/// What to run.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// The only source of which faults are injected and when. What follows from them on real sockets differs between runs.
+    pub seed: u64,
+    /// For how long new faults are injected.
+    pub duration: Duration,
+    /// How proxies are started.
+    pub launch: LaunchOptions,
+}
+
+/// Runs a fleet and checks the invariants.
+///
+/// # Errors
+/// If the fleet can't be started.
+pub async fn run(plan: &Plan) -> anyhow::Result<Report> {
+    let mut rng = Rng::with_seed(plan.seed);
+    let fleet = Fleet::start(&plan.launch, &mut rng).await?;
+    let delay_monitor = monitor_scheduling(&fleet);
+    let mut clients = fleet.start_clients();
+    sleep(QUIET_PERIOD).await;
+    let faults_result = inject_faults(&fleet, plan.duration, &mut rng).await;
+    sleep(QUIET_PERIOD).await;
+    clients.abort_all();
+    let mut own_violations = Vec::new();
+    for proxy in &fleet.proxies {
+        if let Ok((200, metrics)) = proxy.call("GET /metrics").await {
+            own_violations.extend(violations_in(&metrics));
+        }
+        proxy.stop();
+    }
+    delay_monitor.abort();
+    let history = fleet.recorder.history();
+    let violations = invariants::check(&history, &fleet.backends);
+    let mut report = Report::new(&history, violations);
+    report.add_own_violations(own_violations);
+    if let Err(error) = faults_result {
+        report.add_failure(&format!("{error:#}"));
+    }
+    Ok(report)
+}
+
+/// Lines of a proxy's metrics by which it reports violations of its own.
+fn violations_in(metrics: &str) -> Vec<String> {
+    let lines = metrics.lines().filter(|line| line.starts_with(VIOLATIONS_METRIC));
+    lines.filter(|line| !line.ends_with(" 0")).map(str::to_owned).collect()
+}
+
+/// Records when this process itself is scheduled late.
+fn monitor_scheduling(fleet: &Fleet) -> JoinHandle<()> {
+    let recorder = fleet.recorder.clone();
+    tokio::spawn(async move {
+        loop {
+            let started_at = Instant::now();
+            sleep(DELAY_CHECK_PERIOD).await;
+            let delay = started_at.elapsed().saturating_sub(DELAY_CHECK_PERIOD);
+            if delay >= MIN_RECORDED_DELAY {
+                let delay = SchedulingDelay { at: Instant::now(), delay };
+                recorder.history().scheduling_delays.push(delay);
+            }
+        }
+    })
+}
+
+/// Injects groups of faults, one after another. The order of the draws is part of the plan.
+async fn inject_faults(fleet: &Arc<Fleet>, duration: Duration, rng: &mut Rng) -> anyhow::Result<()> {
+    let end = Instant::now() + duration;
+    let mut running = JoinSet::new();
+    while Instant::now() < end {
+        for _ in 0..rng.usize(2..=3) {
+            let fault = Fault::random(rng, fleet.fault_scope());
+            let seed = rng.u64(..);
+            let fleet = fleet.clone();
+            running.spawn(async move { inject(&fleet, fault, seed).await });
+            sleep(MAX_FAULT_OFFSET.mul_f64(rng.f64())).await;
+        }
+        sleep(GROUP_PERIOD).await;
+    }
+    tokio::time::timeout(FAULT_TIMEOUT, wait_for_all(running)).await.context("a fault did not end")?
+}
+
+async fn wait_for_all(mut running: JoinSet<anyhow::Result<()>>) -> anyhow::Result<()> {
+    while let Some(end) = running.join_next().await {
+        end??;
+    }
+    Ok(())
+}
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,96 +1,109 @@
-//! The shape of a small fleet, and the configuration that its proxies get.
+//! The settings of a small fleet, and the configuration that its proxies get.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-/// Whether a class of requests may run more than once.
+/// A class of requests, by whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
-    /// Repeating it does no harm.
+pub enum RequestClass {
+    /// Idempotent.
     Read,
-    /// Backends of one cell drop repeats for [`WINDOW`].
+    /// Carries an idempotency key: backends of one cell drop duplicates for [`IDEMPOTENCY_WINDOW`].
     Booking,
-    /// It must run once at most.
+    /// Not idempotent: it must run once at most.
     Submit,
 }
 
-impl Class {
+impl RequestClass {
     /// All of them.
-    pub const ALL: [Class; 3] = [Class::Read, Class::Booking, Class::Submit];
+    pub const ALL: [RequestClass; 3] = [RequestClass::Read, RequestClass::Booking, RequestClass::Submit];
 
     /// Its name in paths and settings.
     pub fn name(self) -> &'static str {
         match self {
-            Class::Read => "read",
-            Class::Booking => "booking",
-            Class::Submit => "submit",
+            RequestClass::Read => "read",
+            RequestClass::Booking => "booking",
+            RequestClass::Submit => "submit",
         }
     }
 }
 
-/// For how long backends of a cell drop repeats.
-pub const WINDOW: Duration = Duration::from_millis(1200);
-/// Within which sends to a backend that leaves have to end.
+/// For how long backends of a cell drop duplicates.
+pub const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(1200);
+/// How long attempts may still begin at a backend after it has started to drain.
 pub const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// Longest deadline of a class.
-pub const DEADLINE: Duration = Duration::from_secs(2);
-/// Descriptors that a proxy may hold.
-pub const SOCKETS: usize = 512;
-/// How long a new backend is cold, the part of its capacity with which it starts, and what pushes it over.
-pub const COLD: Duration = Duration::from_millis(8700);
-/// The part of its capacity that a new backend has.
-pub const START_CAPACITY: f64 = 0.3;
-/// A cold backend falls when it gets more than this multiple of its capacity,
-pub const FALL_MULTIPLE: f64 = 2.5;
-/// for this span.
-pub const FALL: Duration = Duration::from_millis(1500);
+pub const MAX_DEADLINE: Duration = Duration::from_secs(2);
+/// File descriptors that a proxy may hold.
+pub const MAX_DESCRIPTORS: usize = 512;
+/// How long a new backend is in slow start.
+pub const SLOW_START: Duration = Duration::from_millis(8700);
+/// The part of its capacity that a new backend has at first.
+pub const SLOW_START_MIN_CAPACITY: f64 = 0.3;
+/// A backend in slow start is overloaded by more than this multiple of its capacity within [`OVERLOAD_WINDOW`].
+pub const OVERLOAD_MULTIPLE: f64 = 2.5;
+/// The window over which the load of a backend in slow start is counted.
+pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Where a proxy of the fleet is and who shares its backends.
+/// The part of its capacity that a backend has at an age, while it is in slow start.
+pub fn slow_start_factor(age: Duration) -> f64 {
+    let progress = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
+    SLOW_START_MIN_CAPACITY + (1.0 - SLOW_START_MIN_CAPACITY) * progress
+}
+
+/// A proxy's position in the fleet and the addresses that it is given.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// Its number in the fleet.
-    pub number: usize,
+pub struct ProxySpec {
+    /// Its index in the fleet.
+    pub index: usize,
     /// How many proxies the fleet has.
-    pub proxies: usize,
+    pub proxy_count: usize,
     /// For clients.
     pub listen: SocketAddr,
     /// Its own discovery.
     pub discovery: SocketAddr,
-    /// For datagrams: of every proxy, if they may talk.
+    /// Gossip addresses of both proxies, if gossip is enabled.
     pub peers: Option<[SocketAddr; 2]>,
 }
 
-/// The configuration of a process, as JSON.
-pub fn config(place: &Place, admin: SocketAddr, seed: u64, extra_classes: usize) -> Value {
-    let deadline = DEADLINE.as_millis() as u64;
-    let class = |name: String, effect: &str| {
-        json!({"name": name, "effect": effect, "dedupScope": "cell", "window": WINDOW.as_millis() as u64,
-            "promise": deadline * 4 / 5, "deadline": deadline, "worth": 1})
-    };
-    let mut classes = vec![
-        class(Class::Read.name().into(), "idempotent"),
-        class(Class::Booking.name().into(), "deduplicated"),
-        class(Class::Submit.name().into(), "at_most_once"),
-    ];
-    classes.extend((0..extra_classes).map(|n| class(format!("extra-{n}"), "idempotent")));
+/// The configuration of a process, as the operators' JSON.
+pub fn proxy_config(spec: &ProxySpec, admin: SocketAddr, seed: u64, extra_classes: usize) -> Value {
     let mut config = json!({
-        "name": format!("n{}", place.number), "listen": place.listen, "admin_addr": admin,
-        "discovery": place.discovery, "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": SOCKETS}, "known": null,
-        "settings": {"zone": "a", "zones": ["a"], "flavors": ["k"], "nInstances": place.proxies,
-            "myNumber": place.number, "discovery": "pushed", "weightSource": "nominal",
-            "accounts": [{"name": "acme", "allowancePerS": 100_000}], "classes": classes,
+        "name": format!("n{}", spec.index), "listen": spec.listen, "admin_addr": admin,
+        "discovery": spec.discovery, "seed": format!("{seed:016x}"),
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": MAX_DESCRIPTORS}, "known": null,
+        "settings": {"zone": "a", "zones": ["a"], "flavors": ["k"], "nInstances": spec.proxy_count,
+            "myNumber": spec.index, "discovery": "pushed", "weightSource": "nominal",
+            "accounts": [{"name": "acme", "allowancePerS": 100_000}], "classes": classes(extra_classes),
             "ceilings": {"maxAttempts": 4, "dialTimeout": 300, "idleClose": 4000,
-                "mayTell": place.peers.is_some()},
-            "rules": {"startCapacity": START_CAPACITY, "cold": COLD.as_millis() as u64,
-                "fall": FALL.as_millis() as u64, "fallMultiple": FALL_MULTIPLE,
+                "mayTell": spec.peers.is_some()},
+            "rules": {"startCapacity": SLOW_START_MIN_CAPACITY, "cold": SLOW_START.as_millis() as u64,
+                "fall": OVERLOAD_WINDOW.as_millis() as u64, "fallMultiple": OVERLOAD_MULTIPLE,
                 "drainGrace": DRAIN_GRACE.as_millis() as u64}}});
-    if let Some(peers) = place.peers {
-        config["peer_listen"] = json!(peers[place.number]);
+    if let Some(peers) = spec.peers {
+        config["peer_listen"] = json!(peers[spec.index]);
         config["peers"] = json!(peers);
-        config["peers_all"] = json!(peers[1 - place.number]);
+        config["peers_all"] = json!(peers[1 - spec.index]);
     }
     config
 }
+
+/// The classes of requests, and more that no client uses.
+fn classes(extra: usize) -> Vec<Value> {
+    let mut classes = vec![
+        class(RequestClass::Read.name(), "idempotent"),
+        class(RequestClass::Booking.name(), "deduplicated"),
+        class(RequestClass::Submit.name(), "at_most_once"),
+    ];
+    classes.extend((0..extra).map(|number| class(&format!("extra-{number}"), "idempotent")));
+    classes
+}
+
+fn class(name: &str, effect: &str) -> Value {
+    let deadline = MAX_DEADLINE.as_millis() as u64;
+    json!({"name": name, "effect": effect, "dedupScope": "cell",
+        "window": IDEMPOTENCY_WINDOW.as_millis() as u64, "promise": deadline * 4 / 5, "deadline": deadline,
+        "worth": 1})
+}
