--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,41 +1,41 @@
-//! The command line.
+//! The command line's arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 
-/// What the exit codes mean, for the end of every help text.
-const EXIT: &str = "Exit codes: 0 done, 1 failed, 2 wrong usage or configuration.";
+/// The exit codes, at the end of every help text.
+const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 wrong usage or configuration.";
 
 /// A reverse proxy for fleets of unequal servers.
 ///
-/// A request goes to the fastest server that is open, or waits when a faster one is worth the wait.
+/// A request goes to the fastest server that has capacity, or waits when a faster one is worth the wait.
 #[derive(Debug, Parser)]
-#[command(name = "leadrelay", version, after_help = EXIT, arg_required_else_help = true, max_term_width = 100)]
+#[command(name = "leadrelay", version, after_help = EXIT_CODES, arg_required_else_help = true, max_term_width = 100)]
 pub struct Cli {
-    /// What to do.
+    /// The command.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Run the proxy until SIGTERM; SIGHUP reads its configuration again
-    Serve(Serve),
-    /// Tell all faults of a configuration file
-    Check(Check),
-    /// Show what a configuration file may say
+    Serve(ServeArgs),
+    /// Report all errors of a configuration file
+    Check(CheckArgs),
+    /// Show what a configuration file may contain
     Config {
         /// What to show.
         #[command(subcommand)]
-        show: Show,
+        show: ConfigCommand,
     },
     /// Run stand-in backends of different speed, the proxy and clients on this machine, and watch them
-    Demo(Demo),
-    /// Ask or tell a running proxy something through its second address
-    Ctl(Ctl),
+    Demo(DemoArgs),
+    /// Call the admin address of a running proxy
+    Ctl(CtlArgs),
     /// Print the version
     Version,
     /// Print completions for a shell
@@ -47,52 +47,52 @@
     Man,
 }
 
-/// Runs the proxy.
+/// Arguments of `serve`.
 #[derive(Debug, Args)]
-#[command(after_help = EXIT)]
-pub struct Serve {
-    /// The configuration, our TOML or the operators' JSON
+#[command(after_help = EXIT_CODES)]
+pub struct ServeArgs {
+    /// The configuration, TOML or the operators' JSON
     #[arg(long, short, env = "NODE_CONFIG", value_name = "FILE")]
     pub config: PathBuf,
-    /// What to log in place of what the configuration says, as `debug` or `info,leadrelay::access=off`
+    /// The log filter in place of the configuration's, as `debug` or `info,leadrelay::access=off`
     #[arg(long, value_name = "FILTER")]
     pub log: Option<String>,
-    /// How to log in place of what the configuration says
+    /// The log format in place of the configuration's
     #[arg(long, value_name = "FORMAT")]
     pub log_format: Option<LogFormat>,
 }
 
-/// The form of a log line.
+/// The format of the log.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum LogFormat {
-    /// A line of text an event.
+    /// A line of text for each event.
     Text,
-    /// A JSON object an event.
+    /// A JSON object for each event.
     Json,
 }
 
-/// Checks a file.
+/// Arguments of `check`.
 #[derive(Debug, Args)]
-#[command(after_help = EXIT)]
-pub struct Check {
-    /// The configuration, our TOML or the operators' JSON
+#[command(after_help = EXIT_CODES)]
+pub struct CheckArgs {
+    /// The configuration, TOML or the operators' JSON
     #[arg(value_name = "FILE")]
     pub file: PathBuf,
-    /// The faults as JSON
+    /// Report the errors as JSON
     #[arg(long)]
     pub json: bool,
 }
 
-/// What to show of the configuration's format.
+/// The commands of `config`.
 #[derive(Debug, Subcommand)]
-pub enum Show {
+pub enum ConfigCommand {
     /// The JSON schema
     Schema,
     /// A file that shows every key
     Example,
-    /// What a key means, or all of them
+    /// What a key means; without a key, what all of them mean
     Explain {
-        /// The key, as `classes.deadline`
+        /// The key, for example `classes.deadline`
         #[arg(default_value = "")]
         key: String,
     },
@@ -100,60 +100,65 @@
     Markdown,
 }
 
-/// Runs the demo.
+/// Arguments of `demo`.
 #[derive(Debug, Args)]
-#[command(after_help = EXIT)]
-pub struct Demo {
-    /// End after so many seconds; without it, at Ctrl-C
+#[command(after_help = EXIT_CODES)]
+pub struct DemoArgs {
+    /// End after this many seconds; without it, at Ctrl-C
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=86_400))]
     pub seconds: Option<u64>,
     /// Requests a second that clients send
-    #[arg(long, value_name = "R", default_value_t = 200.0, value_parser = rate)]
+    #[arg(long, value_name = "R", default_value_t = 200.0, value_parser = parse_rate)]
     pub rate: f64,
-    /// The summary as JSON, and nothing else on standard output
+    /// Print only the summary, as JSON
     #[arg(long)]
     pub json: bool,
 }
 
-fn rate(text: &str) -> Result<f64, String> {
-    let rate = text.parse::<f64>().ok().filter(|r| (1.0..=5000.0).contains(r));
-    rate.ok_or_else(|| "a rate is a number from 1 to 5000".into())
+/// A rate that is no number or out of range.
+#[derive(Debug, thiserror::Error)]
+#[error("a rate is a number from 1 to 5000")]
+struct InvalidRate;
+
+fn parse_rate(text: &str) -> Result<f64, InvalidRate> {
+    let rate: f64 = text.parse().map_err(|_| InvalidRate)?;
+    if (1.0..=5000.0).contains(&rate) { Ok(rate) } else { Err(InvalidRate) }
 }
 
-/// Speaks with a running proxy.
+/// Arguments of `ctl`.
 #[derive(Debug, Args)]
-#[command(after_help = EXIT)]
-pub struct Ctl {
-    /// The proxy's second address
+#[command(after_help = EXIT_CODES)]
+pub struct CtlArgs {
+    /// The proxy's admin address
     #[arg(long, env = "NODE_ADMIN_ADDR", value_name = "ADDR", global = true)]
     pub admin: Option<SocketAddr>,
-    /// The answer as JSON
+    /// Print the response as JSON
     #[arg(long, global = true)]
     pub json: bool,
-    /// What to ask or tell.
+    /// The call.
     #[command(subcommand)]
-    pub call: Call,
+    pub call: CtlCommand,
 }
 
-/// A call to the second address.
+/// The commands of `ctl`.
 #[derive(Clone, Debug, Subcommand)]
-pub enum Call {
-    /// Whether the process can serve
+pub enum CtlCommand {
+    /// Check whether the proxy can serve
     Health,
-    /// What has been counted and what holds now
+    /// Show counters and current state
     Stats,
-    /// All metrics in the text form that Prometheus reads
+    /// Show all metrics in the text format of Prometheus
     Metrics,
-    /// Take no new clients
+    /// Drain: fail the health check, so that no new clients come
     Drain,
-    /// Take clients again
+    /// End the drain
     Undrain,
-    /// Send nothing more to a backend
+    /// Put a backend into maintenance: it gets no more requests
     Maint {
         /// The backend's name
         id: String,
     },
-    /// Use a backend again
+    /// End the maintenance of a backend
     Ready {
         /// The backend's name
         id: String,
--- /dev/null
+++ b/crates/cli/src/demo/summary.rs
@@ -0,0 +1,136 @@
+//! The summary at the end of the demo, as JSON and as text.
+
+use std::fmt;
+use std::time::Duration;
+
+use comfy_table::Table;
+use comfy_table::presets::ASCII_MARKDOWN;
+use leadrelay_proxy::{Cause, Running};
+use serde_json::{Map, Value, json};
+
+use super::backend::{Backend, BackendCounts, Machine};
+use super::load::{LoadGenerator, RequestCounts};
+
+/// What happened from start to end.
+pub struct Summary {
+    requests: RequestCounts,
+    p50_ms: f64,
+    p99_ms: f64,
+    backends: Vec<BackendSummary>,
+    /// Requests by the proxy's cause of their end.
+    causes: Map<String, Value>,
+    /// The proxy's decisions, by name.
+    decisions: Map<String, Value>,
+}
+
+struct BackendSummary {
+    machine: Machine,
+    counts: BackendCounts,
+}
+
+impl Summary {
+    pub fn new(proxy: &Running, backends: &[Backend], load: &LoadGenerator) -> Self {
+        let causes = Cause::ALL.map(|cause| (cause.name().to_owned(), proxy.metrics.ended(cause).into()));
+        let decisions = proxy.metrics.decisions().map(|(name, count)| (name.to_owned(), count.into()));
+        let backends = backends
+            .iter()
+            .map(|backend| BackendSummary { machine: backend.machine, counts: backend.counts() });
+        Summary {
+            requests: load.counts(),
+            p50_ms: load.latency_quantile_ms(0.5),
+            p99_ms: load.latency_quantile_ms(0.99),
+            backends: backends.collect(),
+            causes: causes.into_iter().collect(),
+            decisions: decisions.into_iter().collect(),
+        }
+    }
+
+    pub fn to_json(&self) -> Value {
+        let backends: Vec<Value> = self.backends.iter().map(BackendSummary::to_json).collect();
+        json!({
+            "sent": self.requests.sent,
+            "in_time": self.requests.in_time,
+            "late": self.requests.late,
+            "refused": self.requests.rejected,
+            "failed": self.requests.failed,
+            "p50_ms": self.p50_ms,
+            "p99_ms": self.p99_ms,
+            "backends": backends,
+            "causes": self.causes,
+            "choices": self.decisions,
+        })
+    }
+
+    fn backend_table(&self) -> Table {
+        let mut table = Table::new();
+        table.load_preset(ASCII_MARKDOWN);
+        table.set_header(["backend", "speed", "served", "failed", "seconds at work"]);
+        for BackendSummary { machine, counts } in &self.backends {
+            table.add_row([
+                machine.name.to_owned(),
+                json!(machine.speed).to_string(),
+                counts.served.to_string(),
+                counts.failed.to_string(),
+                json!(seconds(counts.busy_time)).to_string(),
+            ]);
+        }
+        table
+    }
+
+    /// A count with its part of all requests.
+    fn with_percentage(&self, count: u64) -> String {
+        let sent = self.requests.sent.max(1) as f64;
+        format!("{count} ({:.1}%)", 100.0 * count as f64 / sent)
+    }
+
+    fn decisions(&self, name: &str) -> u64 {
+        self.decisions.get(name).and_then(Value::as_u64).unwrap_or(0)
+    }
+}
+
+impl BackendSummary {
+    fn to_json(&self) -> Value {
+        json!({
+            "name": self.machine.name,
+            "speed": self.machine.speed,
+            "served": self.counts.served,
+            "failed": self.counts.failed,
+            "busy_s": seconds(self.counts.busy_time),
+        })
+    }
+}
+
+impl fmt::Display for Summary {
+    fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
+        write!(
+            formatter,
+            "{} requests: in time {}, late {}, refused {}, failed {}; ",
+            self.requests.sent,
+            self.with_percentage(self.requests.in_time),
+            self.with_percentage(self.requests.late),
+            self.with_percentage(self.requests.rejected),
+            self.with_percentage(self.requests.failed),
+        )?;
+        write!(
+            formatter,
+            "half within {} ms, 99 of 100 within {} ms\n\n{}\n\n",
+            json!(self.p50_ms),
+            json!(self.p99_ms),
+            self.backend_table(),
+        )?;
+        write!(
+            formatter,
+            "The threshold sent {} at once, {} as the queue had outgrown it, {} near their aim, and held {} looks for \
+             a faster backend.",
+            self.decisions("at_once"),
+            self.decisions("past_threshold"),
+            self.decisions("urgent"),
+            self.decisions("held"),
+        )
+    }
+}
+
+/// Seconds, to the millisecond.
+fn seconds(duration: Duration) -> f64 {
+    (duration.as_secs_f64() * 1000.0).round() / 1000.0
+}
--- a/crates/cli/src/demo/view.rs
+++ b/crates/cli/src/demo/view.rs
@@ -1,147 +1,160 @@
-//! What a person sees of the demo: bars in a terminal, lines elsewhere.
+//! The view of a running demo: bars in a terminal, lines elsewhere.
 
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use comfy_table::Table;
 use indicatif::{MultiProgress, ProgressBar, ProgressStyle};
 use leadrelay_proxy::Running;
-use serde_json::Value;
 
-use super::backends::{Seen, StandIn};
-use super::clients::{Counts, Load};
+use super::TERMINAL_UPDATE_PERIOD;
+use super::backend::{Backend, BackendCounts};
+use super::load::{LoadGenerator, RequestCounts};
 
-/// What holds at one moment.
-pub struct Shown {
-    clients: Counts,
-    backends: Vec<Seen>,
-    choices: [(&'static str, u64); 4],
+/// All counts at one moment.
+pub struct Snapshot {
+    requests: RequestCounts,
+    backends: Vec<BackendCounts>,
+    decisions: [(&'static str, u64); 4],
     waiting: i64,
-    p50: f64,
-    p99: f64,
+    p50_ms: f64,
+    p99_ms: f64,
 }
 
-impl Shown {
-    pub fn look(proxy: &Running, backends: &[StandIn], load: &Load) -> Self {
-        Shown {
-            clients: load.counts(),
-            backends: backends.iter().map(StandIn::seen).collect(),
-            choices: proxy.metrics.decisions(),
+impl Snapshot {
+    pub fn take(proxy: &Running, backends: &[Backend], load: &LoadGenerator) -> Self {
+        Snapshot {
+            requests: load.counts(),
+            backends: backends.iter().map(Backend::counts).collect(),
+            decisions: proxy.metrics.decisions(),
             waiting: proxy.metrics.waiting(),
-            p50: load.quantile(0.5),
-            p99: load.quantile(0.99),
+            p50_ms: load.latency_quantile_ms(0.5),
+            p99_ms: load.latency_quantile_ms(0.99),
         }
     }
 }
 
-/// Bars, lines or nothing.
+/// What a backend did between two snapshots.
+struct BackendActivity {
+    served: u64,
+    failed: u64,
+    in_flight: u64,
+    busy_time: Duration,
+}
+
+/// How the demo is shown.
 pub enum View {
-    Bars { all: MultiProgress, head: ProgressBar, choices: ProgressBar, backends: Vec<ProgressBar> },
+    Bars(Bars),
+    /// A line for each update, with the names of the backends.
     Lines(Vec<&'static str>),
     Silent,
 }
 
-fn style(template: &str) -> ProgressStyle {
-    ProgressStyle::with_template(template).unwrap_or_else(|_| ProgressStyle::default_bar())
+/// Lines and bars in a terminal.
+pub struct Bars {
+    all: MultiProgress,
+    requests: ProgressBar,
+    decisions: ProgressBar,
+    backends: Vec<ProgressBar>,
 }
 
 impl View {
-    pub fn new(terminal: bool, silent: bool, backends: &[StandIn]) -> Self {
-        if silent {
-            return View::Silent;
+    pub fn new(is_terminal: bool, is_silent: bool, backends: &[Backend]) -> Self {
+        if is_silent {
+            View::Silent
+        } else if is_terminal {
+            View::Bars(Bars::new(backends))
+        } else {
+            View::Lines(backends.iter().map(|backend| backend.machine.name).collect())
         }
-        if !terminal {
-            return View::Lines(backends.iter().map(|b| b.kind.name).collect());
-        }
-        let all = MultiProgress::new();
-        let line = || all.add(ProgressBar::new(1).with_style(style("{msg}")));
-        let (head, choices) = (line(), line());
-        let bar = |b: &StandIn| {
-            let bar = all.add(ProgressBar::new(100));
-            bar.set_style(style("{prefix:>8} {bar:30} {pos:>3}% busy  {msg}"));
-            bar.set_prefix(b.kind.name);
-            bar
-        };
-        let backends = backends.iter().map(bar).collect();
-        View::Bars { all, head, choices, backends }
     }
 
-    /// Shows what has happened since the look before.
-    pub fn show(&mut self, elapsed: Duration, before: &Shown, now: &Shown) {
-        let of = |f: fn(&Counts) -> u64| f(&now.clients) - f(&before.clients);
-        let head = format!(
-            "{:>4.0} s  in time {}  late {}  refused {}  failed {}  waiting {}  p50 {:.1} ms  p99 {:.1} ms",
-            elapsed.as_secs_f64(),
-            of(|c| c.in_time),
-            of(|c| c.late),
-            of(|c| c.refused),
-            of(|c| c.failed),
-            now.waiting,
-            now.p50,
-            now.p99
-        );
-        let mut choices = String::from("threshold:");
-        for ((name, count), (_, old)) in now.choices.iter().zip(before.choices) {
-            let _ = write!(choices, "  {} {}", name.replace('_', " "), count - old);
-        }
-        let span = elapsed.max(Duration::from_millis(1));
-        let loads = now.backends.iter().zip(&before.backends).map(|(now, old)| {
-            let busy = now.busy.saturating_sub(old.busy);
-            (busy, now.served - old.served, now.failed - old.failed, now.holds)
-        });
+    /// Shows what has happened since the snapshot before.
+    pub fn update(&mut self, elapsed: Duration, before: &Snapshot, now: &Snapshot) {
+        let requests = requests_line(elapsed, before, now);
+        let decisions = decisions_line(before, now);
+        let activities = backend_activities(before, now);
         match self {
-            View::Bars { head: line, choices: second, backends, .. } => {
-                let step = super::STEP.0.as_secs_f64().min(span.as_secs_f64());
-                line.set_message(head);
-                second.set_message(choices);
-                for (bar, (busy, served, failed, holds)) in backends.iter().zip(loads) {
-                    bar.set_position((100.0 * busy.as_secs_f64() / step).min(100.0) as u64);
-                    bar.set_message(format!("served {served:<4} failed {failed:<3} holds {holds}"));
-                }
-            }
+            View::Bars(bars) => bars.update(elapsed, requests, decisions, &activities),
             View::Lines(names) => {
-                let loads = names.iter().zip(loads).map(|(name, (_, served, ..))| format!("{name} {served}"));
-                println!("{head}  {choices}  served by: {}", loads.collect::<Vec<_>>().join(", "));
+                let served: Vec<String> = names
+                    .iter()
+                    .zip(activities)
+                    .map(|(name, activity)| format!("{name} {}", activity.served))
+                    .collect();
+                println!("{requests}  {decisions}  served by: {}", served.join(", "));
             }
             View::Silent => {}
         }
     }
 
-    /// Leaves the terminal as it was.
-    pub fn end(&self) {
-        if let View::Bars { all, .. } = self {
-            let _ = all.clear(); // what can't be cleared stays
+    /// Removes the bars from the terminal.
+    pub fn close(&self) {
+        if let View::Bars(bars) = self {
+            let _ = bars.all.clear(); // bars that can't be removed stay
         }
     }
 }
 
-/// The end of the demo for people.
-pub fn summary(all: &Value) -> String {
-    let count = |key: &str| all[key].as_u64().unwrap_or(0);
-    let sent = count("sent").max(1) as f64;
-    let part = |key: &str| format!("{} ({:.1}%)", count(key), 100.0 * count(key) as f64 / sent);
-    let mut table = Table::new();
-    table.load_preset(comfy_table::presets::ASCII_MARKDOWN);
-    table.set_header(["backend", "speed", "served", "failed", "seconds at work"]);
-    for backend in all["backends"].as_array().into_iter().flatten() {
-        let cell = |key: &str| backend[key].as_str().map_or_else(|| backend[key].to_string(), str::to_owned);
-        table.add_row([cell("name"), cell("speed"), cell("served"), cell("failed"), cell("busy_s")]);
+impl Bars {
+    fn new(backends: &[Backend]) -> Self {
+        let all = MultiProgress::new();
+        let requests = all.add(ProgressBar::new(1).with_style(style("{msg}")));
+        let decisions = all.add(ProgressBar::new(1).with_style(style("{msg}")));
+        let mut bars = Vec::new();
+        for backend in backends {
+            let bar = all.add(ProgressBar::new(100));
+            bar.set_style(style("{prefix:>8} {bar:30} {pos:>3}% busy  {msg}"));
+            bar.set_prefix(backend.machine.name);
+            bars.push(bar);
+        }
+        Bars { all, requests, decisions, backends: bars }
+    }
+
+    fn update(&self, elapsed: Duration, requests: String, decisions: String, activities: &[BackendActivity]) {
+        let elapsed = elapsed.max(Duration::from_millis(1));
+        let period = TERMINAL_UPDATE_PERIOD.as_secs_f64().min(elapsed.as_secs_f64());
+        self.requests.set_message(requests);
+        self.decisions.set_message(decisions);
+        for (bar, activity) in self.backends.iter().zip(activities) {
+            let percent = 100.0 * activity.busy_time.as_secs_f64() / period;
+            bar.set_position(percent.min(100.0) as u64);
+            let BackendActivity { served, failed, in_flight, .. } = activity;
+            bar.set_message(format!("served {served:<4} failed {failed:<3} in flight {in_flight}"));
+        }
     }
-    let choice = |key: &str| all["choices"][key].as_u64().unwrap_or(0);
+}
+
+fn style(template: &str) -> ProgressStyle {
+    ProgressStyle::with_template(template).unwrap_or_else(|_| ProgressStyle::default_bar())
+}
+
+fn requests_line(elapsed: Duration, before: &Snapshot, now: &Snapshot) -> String {
+    let RequestCounts { in_time, late, rejected, failed, .. } = now.requests.since(&before.requests);
     format!(
-        "{} requests: in time {}, late {}, refused {}, failed {}; half within {} ms, 99 of 100 within {} ms\n\n{table}\n\n\
-         The threshold sent {} at once, {} as the queue had outgrown it, {} near their aim, and held {} looks for a \
-         faster backend.",
-        count("sent"),
-        part("in_time"),
-        part("late"),
-        part("refused"),
-        part("failed"),
-        all["p50_ms"],
-        all["p99_ms"],
-        choice("at_once"),
-        choice("past_threshold"),
-        choice("urgent"),
-        choice("held"),
+        "{:>4.0} s  in time {in_time}  late {late}  refused {rejected}  failed {failed}  waiting {}  p50 {:.1} ms  \
+         p99 {:.1} ms",
+        elapsed.as_secs_f64(),
+        now.waiting,
+        now.p50_ms,
+        now.p99_ms
     )
 }
+
+fn decisions_line(before: &Snapshot, now: &Snapshot) -> String {
+    let mut line = String::from("threshold:");
+    for ((name, count), (_, count_before)) in now.decisions.iter().zip(before.decisions) {
+        let _ = write!(line, "  {} {}", name.replace('_', " "), count - count_before);
+    }
+    line
+}
+
+fn backend_activities(before: &Snapshot, now: &Snapshot) -> Vec<BackendActivity> {
+    let pairs = now.backends.iter().zip(&before.backends);
+    let activity = |(now, before): (&BackendCounts, &BackendCounts)| BackendActivity {
+        served: now.served - before.served,
+        failed: now.failed - before.failed,
+        in_flight: now.in_flight,
+        busy_time: now.busy_time.saturating_sub(before.busy_time),
+    };
+    pairs.map(activity).collect()
+}
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,4 +1,7 @@
-//! Events to standard error, as text or JSON: never so many that they flood, never in the proxy's way.
+//! The log: events to standard error, as text or JSON, at a limited rate and without blocking the proxy.
+
+#[cfg(test)]
+mod tests;
 
 use std::collections::HashMap;
 use std::io::Write as _;
@@ -15,98 +18,105 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Lines that wait for whoever reads them; more are left out.
-const LINES: usize = 1024;
-/// Events that one place in the code may write in a window; more are left out, counted and told. Those of the levels
-/// below `info` are asked for by whoever follows single requests, and all of them are written.
-const BURST: u32 = 20;
+/// Lines that wait to be written; further ones are dropped.
+const MAX_BUFFERED_LINES: usize = 1024;
+/// Events that one call site may log in a window; further ones are dropped and counted. Events below `info` are not
+/// limited, as they are switched on to follow single requests.
+const MAX_EVENTS_PER_WINDOW: u32 = 20;
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Writes what the filter lets through until the guard is dropped, which waits a moment for the last lines.
+/// Starts the log. The guard that is returned flushes it when dropped.
 ///
 /// # Errors
-/// If the filter can't be read, or if there is a log already.
+/// If the filter is malformed, or if a log has been started before.
 pub fn start(logging: &Logging) -> anyhow::Result<WorkerGuard> {
     let targets: Targets =
         logging.filter.parse().with_context(|| format!("'{}' is no filter for the log", logging.filter))?;
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(LINES).thread_name("log");
+    let builder =
+        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LINES).thread_name("log");
     let (writer, guard) = builder.finish(std::io::stderr());
     let json = logging.format == Format::Json;
-    let limit = PerSite::new(json, writer.clone());
+    let limiter = CallSiteLimiter::new(json, writer.clone());
     let layer = tracing_subscriber::fmt::layer().with_writer(writer);
     let layer = if json { layer.json().flatten_event(true).boxed() } else { layer.boxed() };
-    let layer = Limited { limit, inner: layer }.with_filter(targets);
+    let layer = LimitedLayer { limiter, inner: layer }.with_filter(targets);
     tracing_subscriber::registry().with(layer).try_init().context("the log")?;
     Ok(guard)
 }
 
-/// What one place in the code has written in its window.
-struct Site {
-    since: Instant,
+/// What one call site has logged in its current window.
+struct SiteWindow {
+    started_at: Instant,
     events: u32,
 }
 
-/// Lets a burst through at each call site and counts the rest.
-struct PerSite {
-    sites: Mutex<HashMap<Identifier, Site>>,
+/// Whether an event is logged.
+#[derive(Debug, PartialEq)]
+struct Admission {
+    is_admitted: bool,
+    /// How many events of the call site were dropped in the window before, when a new one begins.
+    dropped_before: u32,
+}
+
+/// Limits the events of each call site.
+struct CallSiteLimiter {
+    windows: Mutex<HashMap<Identifier, SiteWindow>>,
     json: bool,
     writer: Arc<Mutex<NonBlocking>>,
 }
 
-impl PerSite {
+impl CallSiteLimiter {
     fn new(json: bool, writer: NonBlocking) -> Self {
-        PerSite { sites: Mutex::default(), json, writer: Arc::new(Mutex::new(writer)) }
+        CallSiteLimiter { windows: Mutex::default(), json, writer: Arc::new(Mutex::new(writer)) }
     }
 
-    /// Counts an event; whether it goes through, and how many were left out of the window before.
-    fn count(&self, site: Identifier, now: Instant) -> (bool, u32) {
-        let mut sites = self.sites.lock().unwrap_or_else(PoisonError::into_inner);
-        let site = sites.entry(site).or_insert(Site { since: now, events: 0 });
-        let mut left_out = 0;
-        if now.duration_since(site.since) >= WINDOW {
-            left_out = site.events.saturating_sub(BURST);
-            (site.since, site.events) = (now, 0);
+    /// Counts an event and decides whether it is logged.
+    fn admit(&self, site: Identifier, now: Instant) -> Admission {
+        let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
+        let window = windows.entry(site).or_insert(SiteWindow { started_at: now, events: 0 });
+        let mut dropped_before = 0;
+        if now.duration_since(window.started_at) >= WINDOW {
+            dropped_before = window.events.saturating_sub(MAX_EVENTS_PER_WINDOW);
+            *window = SiteWindow { started_at: now, events: 0 };
         }
-        site.events += 1;
-        (site.events <= BURST, left_out)
+        window.events += 1;
+        Admission { is_admitted: window.events <= MAX_EVENTS_PER_WINDOW, dropped_before }
     }
 
-    /// Tells how many events of a place were left out. The events of the log can't: they would count themselves.
-    fn tell(&self, place: &Metadata, left_out: u32) {
-        let (file, line) = (place.file().unwrap_or("?"), place.line().unwrap_or(0));
+    /// Logs how many events of a call site were dropped, past the subscriber: as an event it would be limited itself.
+    fn log_dropped(&self, site: &Metadata, dropped: u32) {
+        let file = site.file().unwrap_or("?");
+        let line = site.line().unwrap_or(0);
         let text = if self.json {
             format!(
-                "{{\"level\":\"WARN\",\"message\":\"events left out\",\"left_out\":{left_out},\"place\":\"{file}:{line}\"}}\n"
+                "{{\"level\":\"WARN\",\"message\":\"events left out\",\"left_out\":{dropped},\"place\":\"{file}:{line}\"}}\n"
             )
         } else {
-            format!("WARN leadrelay::log: events left out left_out={left_out} place=\"{file}:{line}\"\n")
+            format!("WARN leadrelay::log: events left out left_out={dropped} place=\"{file}:{line}\"\n")
         };
         let mut writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
-        let _ = writer.write_all(text.as_bytes()); // what the queue has no room for is lost
+        let _ = writer.write_all(text.as_bytes()); // dropped if the buffer is full
     }
 }
 
-/// A layer that gets what its limit lets through. It passes on events alone: the proxy has no spans.
-struct Limited<L> {
-    limit: PerSite,
+/// A layer that passes on the events that its limiter admits. It passes on no spans, as the proxy has none.
+struct LimitedLayer<L> {
+    limiter: CallSiteLimiter,
     inner: L,
 }
 
-impl<S: Subscriber, L: Layer<S>> Layer<S> for Limited<L> {
+impl<S: Subscriber, L: Layer<S>> Layer<S> for LimitedLayer<L> {
     fn on_event(&self, event: &Event, context: Context<S>) {
-        let place = event.metadata();
-        if *place.level() > Level::INFO {
+        let site = event.metadata();
+        if *site.level() > Level::INFO {
             return self.inner.on_event(event, context);
         }
-        let (passes, left_out) = self.limit.count(place.callsite(), Instant::now());
-        if left_out > 0 {
-            self.limit.tell(place, left_out);
+        let admission = self.limiter.admit(site.callsite(), Instant::now());
+        if admission.dropped_before > 0 {
+            self.limiter.log_dropped(site, admission.dropped_before);
         }
-        if passes {
+        if admission.is_admitted {
             self.inner.on_event(event, context);
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/cli/src/logging/tests.rs
+++ b/crates/cli/src/logging/tests.rs
@@ -1,9 +1,9 @@
-//! The limit on events.
+//! The limit on events of a call site.
 
 use super::*;
 
 #[test]
-fn a_place_writes_a_burst_a_window_and_tells_what_was_left_out() {
+fn call_site_is_limited_and_dropped_events_are_counted_once() {
     static ONE: tracing::callsite::DefaultCallsite = tracing::callsite::DefaultCallsite::new(&META);
     static TWO: tracing::callsite::DefaultCallsite = tracing::callsite::DefaultCallsite::new(&META);
     static META: Metadata = tracing::metadata! {
@@ -11,11 +11,12 @@
         kind: tracing::metadata::Kind::EVENT
     };
     let (writer, _guard) = NonBlocking::new(std::io::sink());
-    let limit = PerSite::new(false, writer);
+    let limiter = CallSiteLimiter::new(false, writer);
     let now = Instant::now();
-    let passed = (0..50).filter(|_| limit.count(Identifier(&ONE), now).0).count();
-    assert_eq!(passed, BURST as usize);
-    assert_eq!(limit.count(Identifier(&TWO), now), (true, 0), "a flood at one place hides no other");
-    assert_eq!(limit.count(Identifier(&ONE), now + WINDOW), (true, 30));
-    assert_eq!(limit.count(Identifier(&ONE), now + WINDOW), (true, 0), "told once");
+    let admitted = (0..50).filter(|_| limiter.admit(Identifier(&ONE), now).is_admitted).count();
+    assert_eq!(admitted, MAX_EVENTS_PER_WINDOW as usize);
+    let admitted_after = |dropped_before| Admission { is_admitted: true, dropped_before };
+    assert_eq!(limiter.admit(Identifier(&TWO), now), admitted_after(0), "other call sites are not limited");
+    assert_eq!(limiter.admit(Identifier(&ONE), now + WINDOW), admitted_after(30));
+    assert_eq!(limiter.admit(Identifier(&ONE), now + WINDOW), admitted_after(0), "reported once");
 }
