--- a/crates/simulator/src/wire.rs
+++ b/crates/simulator/src/adapter.rs
@@ -17,9 +17,9 @@
 };
 use serde_json::json;
 
-use crate::day::Day;
-use crate::decide::{Decide, Truth};
-use crate::scenario::EffectOf;
+use crate::policy::{Policy, TrueState};
+use crate::scenario::RequestIdempotency;
+use crate::workload::Workload;
 
 /// An adapter that runs.
 pub struct Adapter {
@@ -98,7 +98,7 @@
 }
 
 /// One instance of an adapter.
-pub struct Instance {
+pub struct AdapterPolicy {
     adapter: Rc<RefCell<Adapter>>,
     number: usize,
     classes: Vec<String>,
@@ -109,15 +109,15 @@
     hello: Option<String>,
 }
 
-impl Instance {
+impl AdapterPolicy {
     /// Proxy `p` of a day, by an adapter that hosts it.
-    pub fn new(adapter: Rc<RefCell<Adapter>>, day: &Day, p: usize, seed: u64) -> Self {
+    pub fn new(adapter: Rc<RefCell<Adapter>>, day: &Workload, p: usize, seed: u64) -> Self {
         let s = &day.scenario;
-        let class = |c: &crate::scenario::ClassOf| {
+        let class = |c: &crate::scenario::ClassSpec| {
             let effect = match c.effect {
-                EffectOf::Safe => "idempotent",
-                EffectOf::Unsafe => "at_most_once",
-                EffectOf::Keyed => "deduplicated",
+                RequestIdempotency::Safe => "idempotent",
+                RequestIdempotency::Unsafe => "at_most_once",
+                RequestIdempotency::Keyed => "deduplicated",
             };
             json!({"name": c.name, "effect": effect, "dedupScope": "cell", "window": 10_000.0, "promise": c.aim_ms,
                    "deadline": c.deadline_ms, "worth": c.worth, "lateShare": 0.0})
@@ -135,7 +135,7 @@
                       "fall": s.cold.fall_s * 1000.0},
         });
         let hello = format!("UP\ti={p}\trandomSeed={}\tparams={params}\n", seed >> 11);
-        Instance {
+        AdapterPolicy {
             adapter,
             number: p,
             classes: s.classes.iter().map(|c| c.name.clone()).collect(),
@@ -215,8 +215,8 @@
     }
 }
 
-impl Decide for Instance {
-    fn handle(&mut self, now: f64, event: Event, _: (&Truth, &Truth), out: &mut Vec<Action>) {
+impl Policy for AdapterPolicy {
+    fn handle(&mut self, now: f64, event: Event, _: (&TrueState, &TrueState), out: &mut Vec<Action>) {
         let Some(text) = self.words(event) else { return };
         let text = self.hello.take().unwrap_or_default() + &text;
         if let Err(e) = self.adapter.borrow_mut().batch(now, &text, out) {
--- a/crates/simulator/src/backend.rs
+++ b/crates/simulator/src/backend.rs
@@ -9,10 +9,10 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::day::Machine;
+use crate::workload::Machine;
 
 /// Numbers an attempt.
-pub type AttemptNo = usize;
+pub type AttemptIndex = usize;
 
 /// A point in time, ordered.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -66,8 +66,8 @@
     /// Work sent to it while it was cold, newest last.
     cold_work: VecDeque<(f64, f64)>,
     /// Requests in work by the virtual time at which they are done.
-    work: BinaryHeap<Reverse<(At, AttemptNo)>>,
-    waiting: VecDeque<(AttemptNo, f64)>,
+    work: BinaryHeap<Reverse<(At, AttemptIndex)>>,
+    waiting: VecDeque<(AttemptIndex, f64)>,
     /// Work that each request in work has got since the start, and when that was so.
     virtual_work: f64,
     virtual_at: f64,
@@ -152,7 +152,7 @@
     }
 
     /// A request arrives that needs this much work for this key.
-    pub fn arrive(&mut self, now: f64, attempt: AttemptNo, work: f64, key: u64) -> Taken {
+    pub fn arrive(&mut self, now: f64, attempt: AttemptIndex, work: f64, key: u64) -> Taken {
         if !self.up {
             return Taken::Down;
         }
@@ -206,7 +206,7 @@
     }
 
     /// Takes out the request that is done now.
-    pub fn finish(&mut self, now: f64) -> Option<AttemptNo> {
+    pub fn finish(&mut self, now: f64) -> Option<AttemptIndex> {
         self.settle(now);
         let Reverse((_, attempt)) = self.work.pop()?;
         if let Some((next, work)) = self.waiting.pop_front() {
@@ -217,9 +217,9 @@
     }
 
     /// Its process dies: all that it held is lost.
-    pub fn die(&mut self, now: f64) -> Vec<AttemptNo> {
+    pub fn die(&mut self, now: f64) -> Vec<AttemptIndex> {
         self.settle(now);
-        let mut lost: Vec<AttemptNo> = self.work.drain().map(|Reverse((_, a))| a).collect();
+        let mut lost: Vec<AttemptIndex> = self.work.drain().map(|Reverse((_, a))| a).collect();
         lost.sort_unstable(); // a heap's order is its own affair
         lost.extend(self.waiting.drain(..).map(|w| w.0));
         self.warm.clear();
--- a/crates/simulator/src/commands/reconnect.rs
+++ b/crates/simulator/src/commands/reconnect.rs
@@ -1,7 +1,7 @@
 //! `leadrelay-simulator reconnect`: storms of calls to discovery, for fleets of several sizes.
 
 use clap::Args;
-use leadrelay_simulator::reconnect::{Outcome, Storm, play};
+use leadrelay_simulator::reconnect::{Outcome, ReconnectStorm, play};
 use rayon::prelude::*;
 
 use crate::{positive, table};
@@ -53,7 +53,7 @@
         "most calls/s",
     ]);
     for &proxies in &options.proxies {
-        let storm = Storm {
+        let storm = ReconnectStorm {
             proxies,
             calls_per_s: options.calls_per_s,
             limit_ms: options.limit_ms,
--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::draw::Draw;
+use crate::random::RandomStream;
 
 /// Resamples of the bootstrap.
 const RESAMPLES: usize = 4000;
@@ -30,7 +30,7 @@
         if n == 0 {
             return None;
         }
-        let mut draw = Draw::new(seed, "bootstrap");
+        let mut draw = RandomStream::new(seed, "bootstrap");
         let mut medians: Vec<f64> =
             (0..RESAMPLES).map(|_| median((0..n).map(|_| differences[draw.below(n)]).collect())).collect();
         medians.sort_by(f64::total_cmp);
@@ -63,7 +63,7 @@
 
     #[test]
     fn a_shift_is_shown_and_noise_is_not() {
-        let mut draw = Draw::new(1, "pairs");
+        let mut draw = RandomStream::new(1, "pairs");
         let mut pairs = |shift: f64| -> Vec<(f64, f64)> {
             let pair = |_| {
                 let day = draw.unit();
--- a/crates/simulator/src/discovery.rs
+++ b/crates/simulator/src/discovery.rs
@@ -6,11 +6,11 @@
 //! each 2 s while nothing changes. Nothing is decided here: the model hands back [`Effect`]s, and its owner plans them
 //! on its own clock.
 
-use leadrelay_core::{CallEnd, CallId, DiscoveryEvent, Endpoint as Line, EndpointState};
+use leadrelay_core::{CallEnd, CallId, DiscoveryEvent, Endpoint, EndpointState};
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
 
-use crate::draw::Draw;
+use crate::random::RandomStream;
 
 /// One way between a proxy and the service, in ms.
 const WAY: f64 = 1.0;
@@ -121,7 +121,7 @@
         event: DiscoveryEvent,
     },
     /// The service now has a change.
-    Learned(Line),
+    Learned(Endpoint),
     /// The service has written lines to a proxy.
     Wrote {
         /// To which.
@@ -131,7 +131,7 @@
         /// The whole list.
         whole: bool,
         /// The lines.
-        lines: Vec<Line>,
+        lines: Vec<Endpoint>,
     },
     /// A watch at the present address has ended.
     WatchEnded {
@@ -182,23 +182,23 @@
 pub struct Service {
     character: Character,
     queue: Queue,
-    list: Vec<Line>,
+    list: Vec<Endpoint>,
     /// What each version changed, from version 1 on.
-    history: Vec<Line>,
+    history: Vec<Endpoint>,
     /// Changes that come to it once it is back.
-    missed: Vec<Line>,
+    missed: Vec<Endpoint>,
     down: bool,
     connections: Vec<Connection>,
     by_call: FxHashMap<(Caller, CallId), ConnectionId>,
     /// Connections that are waiting or open.
     live: Vec<ConnectionId>,
     counts: Counts,
-    chance: Draw,
+    chance: RandomStream,
 }
 
 impl Service {
     /// A service that has this list.
-    pub fn new(character: Character, list: Vec<Line>, seed: u64) -> Self {
+    pub fn new(character: Character, list: Vec<Endpoint>, seed: u64) -> Self {
         Service {
             character,
             queue: Queue::new(character.calls_per_s, character.limit),
@@ -210,7 +210,7 @@
             by_call: FxHashMap::default(),
             live: Vec::new(),
             counts: Counts::default(),
-            chance: Draw::new(seed, "discovery"),
+            chance: RandomStream::new(seed, "discovery"),
         }
     }
 
@@ -282,7 +282,7 @@
     }
 
     /// Something has changed; while the service is down it learns of that at its return.
-    pub fn change(&mut self, line: Line, out: &mut Vec<Effect>) {
+    pub fn change(&mut self, line: Endpoint, out: &mut Vec<Effect>) {
         if self.down {
             return self.missed.push(line);
         }
@@ -398,7 +398,8 @@
         match resumed {
             Some(version) => self.write_changes(now, connection, version, out),
             None => {
-                let hidden = |l: &&Line| self.character.hides_draining && l.state == EndpointState::Draining;
+                let hidden =
+                    |l: &&Endpoint| self.character.hides_draining && l.state == EndpointState::Draining;
                 let lines = self.list.iter().filter(|l| !hidden(l)).cloned().collect();
                 self.write(now, connection, true, lines, out);
             }
@@ -434,7 +435,8 @@
     }
 
     fn write(
-        &mut self, now: f64, connection: ConnectionId, whole: bool, lines: Vec<Line>, out: &mut Vec<Effect>,
+        &mut self, now: f64, connection: ConnectionId, whole: bool, lines: Vec<Endpoint>,
+        out: &mut Vec<Effect>,
     ) {
         let version = self.version();
         let c = &mut self.connections[connection];
--- a/crates/simulator/src/drains.rs
+++ b/crates/simulator/src/drain_invariant.rs
@@ -15,7 +15,7 @@
 
 use std::fmt;
 
-use leadrelay_core::{Endpoint as Line, EndpointState};
+use leadrelay_core::{Endpoint, EndpointState};
 use rustc_hash::FxHashMap;
 
 /// Sends may go on for so long after a change counts as known, in ms: the settings' 2 s, and the slack of the rules.
@@ -27,7 +27,7 @@
 
 /// Why a change counts as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ground {
+pub enum NotificationBasis {
     /// It was written to the proxy.
     Written,
     /// Discovery had it for long enough.
@@ -42,30 +42,30 @@
 
 /// Since when a change counts as known to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct KnownSince {
+pub struct NotifiedSince {
     /// When, in ms.
     pub at: f64,
     /// Why then.
-    pub ground: Ground,
+    pub ground: NotificationBasis,
 }
 
 /// A send that the rule forbids. Times are in ms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Forbidden {
+pub struct SendAfterDrain {
     /// Who sent.
     pub proxy: usize,
     /// Where to.
     pub backend: usize,
     /// Since when the backend's drain or end counted as known.
-    pub known: KnownSince,
+    pub known: NotifiedSince,
     /// When the first byte went out.
     pub first_byte: f64,
 }
 
-impl fmt::Display for Forbidden {
+impl fmt::Display for SendAfterDrain {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Forbidden { proxy, backend, known, first_byte } = self;
-        let KnownSince { at, ground } = known;
+        let SendAfterDrain { proxy, backend, known, first_byte } = self;
+        let NotifiedSince { at, ground } = known;
         write!(f, "proxy {proxy}, backend {backend}: known since {at:.0} ({ground:?}), ")?;
         write!(f, "first byte at {first_byte:.0}, {:.0} ms too late", first_byte - at - GRACE)
     }
@@ -108,17 +108,17 @@
 
 /// The rule over a whole fleet.
 #[derive(Clone, Debug)]
-pub struct DrainRule {
+pub struct DrainInvariant {
     pushed: bool,
     /// Backends that drain or have left, and since when discovery has had that and could be reached.
     leaving: FxHashMap<usize, f64>,
     proxies: Vec<Told>,
 }
 
-impl DrainRule {
+impl DrainInvariant {
     /// For so many proxies that have just started; `pushed`: lists come unasked, by an agent beside each proxy.
     pub fn new(proxies: usize, pushed: bool) -> Self {
-        DrainRule { pushed, leaving: FxHashMap::default(), proxies: vec![Told::new(0.0); proxies] }
+        DrainInvariant { pushed, leaving: FxHashMap::default(), proxies: vec![Told::new(0.0); proxies] }
     }
 
     /// A proxy has started, and knows nothing that was told before.
@@ -127,7 +127,7 @@
     }
 
     /// Discovery has a change and can be reached.
-    pub fn learned(&mut self, now: f64, line: &Line) {
+    pub fn learned(&mut self, now: f64, line: &Endpoint) {
         let backend = line.id.0 as usize;
         match line.state {
             EndpointState::Up => drop(self.leaving.remove(&backend)),
@@ -138,7 +138,7 @@
     }
 
     /// Discovery has written lines to a proxy, at its present or its former address.
-    pub fn written(&mut self, now: f64, proxy: usize, former: bool, whole: bool, lines: &[Line]) {
+    pub fn written(&mut self, now: f64, proxy: usize, former: bool, whole: bool, lines: &[Endpoint]) {
         let told = &mut self.proxies[proxy];
         if whole {
             let named = |backend: &usize| lines.iter().any(|line| line.id.0 as usize == *backend);
@@ -178,29 +178,33 @@
     }
 
     /// Since when a backend's drain or end counts as known to a proxy; `None` if it takes work.
-    pub fn known_since(&self, proxy: usize, backend: usize) -> Option<KnownSince> {
+    pub fn known_since(&self, proxy: usize, backend: usize) -> Option<NotifiedSince> {
         let told = &self.proxies[proxy];
-        let written = told.written.get(&backend).map(|&at| KnownSince { at, ground: Ground::Written });
+        let written =
+            told.written.get(&backend).map(|&at| NotifiedSince { at, ground: NotificationBasis::Written });
         let unwritten = self.leaving.get(&backend).map(|&had_at| self.unwritten(told, had_at));
         let moments = written.into_iter().chain(unwritten.into_iter().flatten());
         moments.min_by(|one, other| one.at.total_cmp(&other.at))
     }
 
     /// When a change counts as known for other reasons than that it was written.
-    fn unwritten(&self, told: &Told, had_at: f64) -> Vec<KnownSince> {
-        let mut moments = vec![(had_at + ASSUMED, Ground::Assumed)];
-        moments.extend(told.silent_since.map(|at| (had_at.max(at + ASSUMED), Ground::Silent)));
-        moments.extend(told.moved_at.map(|at| (had_at.max(at + MOVED), Ground::Moved)));
+    fn unwritten(&self, told: &Told, had_at: f64) -> Vec<NotifiedSince> {
+        let mut moments = vec![(had_at + ASSUMED, NotificationBasis::Assumed)];
+        moments.extend(told.silent_since.map(|at| (had_at.max(at + ASSUMED), NotificationBasis::Silent)));
+        moments.extend(told.moved_at.map(|at| (had_at.max(at + MOVED), NotificationBasis::Moved)));
         let moved_before = told.moved_at.is_some_and(|at| at <= had_at);
         if self.pushed && !moved_before {
             let missed = told.silent_since.is_some_and(|at| at <= had_at);
             match told.watch {
                 Watch::Silent if missed => {}
-                Watch::Closed { since } if missed => moments.push((had_at.max(since), Ground::Pushed)),
-                _ => moments.push((had_at, Ground::Pushed)),
+                Watch::Closed { since } if missed => {
+                    moments.push((had_at.max(since), NotificationBasis::Pushed))
+                }
+                _ => moments.push((had_at, NotificationBasis::Pushed)),
             }
         }
-        let moment = |(at, ground): (f64, Ground)| KnownSince { at: at.max(told.started), ground };
+        let moment =
+            |(at, ground): (f64, NotificationBasis)| NotifiedSince { at: at.max(told.started), ground };
         moments.into_iter().map(moment).collect()
     }
 
@@ -208,10 +212,10 @@
     ///
     /// # Errors
     /// If it is forbidden.
-    pub fn check(&self, proxy: usize, backend: usize, first_byte: f64) -> Result<(), Forbidden> {
+    pub fn check(&self, proxy: usize, backend: usize, first_byte: f64) -> Result<(), SendAfterDrain> {
         match self.known_since(proxy, backend) {
             Some(known) if first_byte > known.at + GRACE => {
-                Err(Forbidden { proxy, backend, known, first_byte })
+                Err(SendAfterDrain { proxy, backend, known, first_byte })
             }
             _ => Ok(()),
         }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,23 +1,23 @@
-//! An emulated fleet: days drawn from scenarios by a seed and played in simulated time, with the core's decisions exactly
-//! as in service. What the model assumes and leaves out stands in `docs/simulator.md`.
+//! A simulated fleet: workloads sampled from scenarios by a seed and run in simulated time, with the core's decisions
+//! exactly as in service. What the model assumes and leaves out is listed in `docs/simulator.md`.
 
+pub mod adapter;
 pub mod backend;
-pub mod cold;
 pub mod compare;
-pub mod day;
-pub mod decide;
 pub mod discovery;
-pub mod drains;
-pub mod draw;
-pub mod ledger;
+pub mod drain_invariant;
+pub mod policy;
+pub mod random;
 pub mod reconnect;
+pub mod recorder;
 pub mod scenario;
 pub mod settings;
-pub mod wire;
-pub mod world;
+pub mod simulation;
+pub mod slow_start;
+pub mod workload;
 
-pub use day::Day;
-pub use decide::{Decide, Pick, Truth};
-pub use ledger::{End, Result};
+pub use policy::{BaselineKind, Policy, TrueState};
+pub use recorder::{End, Result};
 pub use scenario::{Scenario, ScenarioError};
-pub use world::{Version, play, play_by};
+pub use simulation::{Version, play, play_by};
+pub use workload::Workload;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -8,11 +8,11 @@
 use clap::{Args, Parser, Subcommand};
 use comfy_table::Table;
 use indicatif::{ProgressBar, ProgressStyle};
-use leadrelay_simulator::cold::Worst;
 use leadrelay_simulator::compare::{Difference, median};
-use leadrelay_simulator::draw::Range;
+use leadrelay_simulator::random::Range;
 use leadrelay_simulator::scenario::FaultKind;
-use leadrelay_simulator::{Day, Pick, Result, Scenario, Version, play};
+use leadrelay_simulator::slow_start::Worst;
+use leadrelay_simulator::{BaselineKind, Result, Scenario, Version, Workload, play};
 use rayon::prelude::*;
 
 /// Plays emulated fleets in simulated time and tells where the worth went.
@@ -100,11 +100,11 @@
     if text == "core" {
         return Ok(Version::Core);
     }
-    if let Ok(pick) = Pick::from_str(text, true) {
+    if let Ok(pick) = BaselineKind::from_str(text, true) {
         return Ok(Version::Baseline(pick));
     }
     let path = PathBuf::from(text);
-    let names: Vec<_> = Pick::value_variants().iter().filter_map(|p| p.to_possible_value()).collect();
+    let names: Vec<_> = BaselineKind::value_variants().iter().filter_map(|p| p.to_possible_value()).collect();
     let names: Vec<&str> = names.iter().map(|n| n.get_name()).collect();
     match path.is_file() {
         true => Ok(Version::Adapter(path)),
@@ -124,7 +124,7 @@
     seeds: u64,
     /// Who decides, in place of the core
     #[arg(long, value_enum)]
-    baseline: Option<Pick>,
+    baseline: Option<BaselineKind>,
     /// Cut the day to so many seconds
     #[arg(long, value_parser = positive)]
     seconds: Option<f64>,
@@ -168,7 +168,7 @@
         bar.set_style(style);
     }
     let day = |seed: &u64| {
-        let result = play(&Day::draw(scenario, *seed), version);
+        let result = play(&Workload::sample(scenario, *seed), version);
         bar.inc(1);
         result.map_err(|e| format!("{}: {e}", version.name()))
     };
@@ -248,13 +248,13 @@
     let scenario = scenario(run)?;
     let all = [
         Version::Core,
-        Version::Baseline(Pick::Random),
-        Version::Baseline(Pick::RoundRobin),
-        Version::Baseline(Pick::Least),
-        Version::Baseline(Pick::TwoChoices),
-        Version::Baseline(Pick::PeakEwma),
-        Version::Baseline(Pick::SeesLate),
-        Version::Baseline(Pick::SeesAll),
+        Version::Baseline(BaselineKind::Random),
+        Version::Baseline(BaselineKind::RoundRobin),
+        Version::Baseline(BaselineKind::Least),
+        Version::Baseline(BaselineKind::TwoChoices),
+        Version::Baseline(BaselineKind::PeakEwma),
+        Version::Baseline(BaselineKind::SeesLate),
+        Version::Baseline(BaselineKind::SeesAll),
     ];
     let mut shown = table(&["by", "G", "served", "worst 10 s", "worst class", "rules broken"]);
     for version in all {
--- a/crates/simulator/src/decide.rs
+++ b/crates/simulator/src/policy.rs
@@ -5,11 +5,11 @@
 };
 use rustc_hash::FxHashMap;
 
-use crate::draw::Draw;
+use crate::random::RandomStream;
 
 /// The true state of all backends, by their numbers. Only baselines that are said to see it look at it.
 #[derive(Clone, Debug, Default)]
-pub struct Truth {
+pub struct TrueState {
     /// Requests that each holds.
     pub holds: Vec<f64>,
     /// Work that each does in a ms; 0 if it can't serve.
@@ -17,9 +17,9 @@
 }
 
 /// One proxy's decisions.
-pub trait Decide {
+pub trait Policy {
     /// Takes in an event, and appends what is to be done. `now` is the truth, `late` what it was a while ago.
-    fn handle(&mut self, now: f64, event: Event, truth: (&Truth, &Truth), out: &mut Vec<Action>);
+    fn handle(&mut self, now: f64, event: Event, truth: (&TrueState, &TrueState), out: &mut Vec<Action>);
 
     /// Whether it takes in what its calls to discovery meet, as [`Event::Discovery`]; others are told lists alone.
     fn follows_calls(&self) -> bool {
@@ -37,8 +37,8 @@
     }
 }
 
-impl Decide for Balancer {
-    fn handle(&mut self, now: f64, event: Event, _: (&Truth, &Truth), out: &mut Vec<Action>) {
+impl Policy for Balancer {
+    fn handle(&mut self, now: f64, event: Event, _: (&TrueState, &TrueState), out: &mut Vec<Action>) {
         Balancer::handle(self, now, event, out);
     }
 
@@ -57,7 +57,7 @@
 
 /// How a baseline picks a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
-pub enum Pick {
+pub enum BaselineKind {
     /// Evenly at random.
     Random,
     /// One after another.
@@ -91,8 +91,8 @@
 
 /// A baseline: sends at once, repeats what surely did not run, and holds nothing.
 pub struct Baseline {
-    pick: Pick,
-    draw: Draw,
+    pick: BaselineKind,
+    draw: RandomStream,
     backends: Vec<Known>,
     next: usize,
     open: FxHashMap<RequestId, (u32, EndpointId)>,
@@ -101,12 +101,12 @@
 
 impl Baseline {
     /// A proxy that picks like this.
-    pub fn new(pick: Pick, seed: u64) -> Self {
+    pub fn new(pick: BaselineKind, seed: u64) -> Self {
         let (backends, next, open, subscribed) = Default::default();
-        Baseline { pick, draw: Draw::new(seed, "baseline"), backends, next, open, subscribed }
+        Baseline { pick, draw: RandomStream::new(seed, "baseline"), backends, next, open, subscribed }
     }
 
-    fn choose(&mut self, now: f64, (truth, late): (&Truth, &Truth)) -> Option<usize> {
+    fn choose(&mut self, now: f64, (truth, late): (&TrueState, &TrueState)) -> Option<usize> {
         let n = self.backends.len();
         if n == 0 {
             return None;
@@ -115,32 +115,32 @@
         let least = |cost: &dyn Fn(&Known) -> f64, all: &[Known]| {
             (0..n).map(|i| (first + i) % n).min_by(|a, b| cost(&all[*a]).total_cmp(&cost(&all[*b])))
         };
-        let seen = |t: &Truth, k: &Known| {
+        let seen = |t: &TrueState, k: &Known| {
             let capacity = t.capacity.get(k.number).copied().unwrap_or(0.0);
             if capacity > 0.0 { (t.holds[k.number] + 1.0) / capacity } else { f64::INFINITY }
         };
         match self.pick {
-            Pick::Random => Some(first),
-            Pick::RoundRobin => {
+            BaselineKind::Random => Some(first),
+            BaselineKind::RoundRobin => {
                 self.next = (self.next + 1) % n;
                 Some(self.next)
             }
-            Pick::Least => least(&|k| f64::from(k.out), &self.backends),
-            Pick::TwoChoices => {
+            BaselineKind::Least => least(&|k| f64::from(k.out), &self.backends),
+            BaselineKind::TwoChoices => {
                 let second = self.draw.below(n);
                 let fewer = self.backends[second].out < self.backends[first].out;
                 Some(if fewer { second } else { first })
             }
-            Pick::PeakEwma => {
+            BaselineKind::PeakEwma => {
                 let cost = |k: &Known| k.latency * (-(now - k.at) / DECAY).exp() * f64::from(k.out + 1);
                 least(&cost, &self.backends)
             }
-            Pick::SeesAll => least(&|k| seen(truth, k), &self.backends),
-            Pick::SeesLate => least(&|k| seen(late, k) * (1.0 + f64::from(k.out)), &self.backends),
+            BaselineKind::SeesAll => least(&|k| seen(truth, k), &self.backends),
+            BaselineKind::SeesLate => least(&|k| seen(late, k) * (1.0 + f64::from(k.out)), &self.backends),
         }
     }
 
-    fn send(&mut self, now: f64, id: RequestId, truth: (&Truth, &Truth), out: &mut Vec<Action>) {
+    fn send(&mut self, now: f64, id: RequestId, truth: (&TrueState, &TrueState), out: &mut Vec<Action>) {
         match self.choose(now, truth) {
             Some(k) => {
                 self.backends[k].out += 1;
@@ -161,8 +161,8 @@
     }
 }
 
-impl Decide for Baseline {
-    fn handle(&mut self, now: f64, event: Event, truth: (&Truth, &Truth), out: &mut Vec<Action>) {
+impl Policy for Baseline {
+    fn handle(&mut self, now: f64, event: Event, truth: (&TrueState, &TrueState), out: &mut Vec<Action>) {
         match event {
             Event::List { scope, entries } => {
                 if scope == ListScope::Failed {
--- a/crates/simulator/src/draw.rs
+++ b/crates/simulator/src/random.rs
@@ -27,9 +27,9 @@
 
 /// A stream of chance. The same seed and purpose give the same stream on every machine.
 #[derive(Clone, Debug)]
-pub struct Draw(ChaCha12Rng);
+pub struct RandomStream(ChaCha12Rng);
 
-impl Draw {
+impl RandomStream {
     /// The stream of a purpose; purposes with different names are independent.
     pub fn new(seed: u64, purpose: &str) -> Self {
         // FNV-1a: only to tell purposes apart, the generator mixes.
@@ -37,7 +37,7 @@
         let stream = purpose.bytes().fold(0xcbf2_9ce4_8422_2325, fold);
         let mut rng = ChaCha12Rng::seed_from_u64(seed);
         rng.set_stream(stream);
-        Draw(rng)
+        RandomStream(rng)
     }
 
     /// Evenly in [0, 1).
@@ -102,7 +102,7 @@
     }
 
     /// Draws a key, counted from 0.
-    pub fn draw(&self, draw: &mut Draw) -> usize {
+    pub fn draw(&self, draw: &mut RandomStream) -> usize {
         let u = draw.unit();
         self.0.partition_point(|x| *x < u).min(self.0.len() - 1)
     }
@@ -115,7 +115,7 @@
     #[test]
     fn a_seed_and_purpose_give_one_stream_and_others_give_others() {
         let of = |seed, purpose| {
-            let mut draw = Draw::new(seed, purpose);
+            let mut draw = RandomStream::new(seed, purpose);
             [draw.unit(), draw.exp(), draw.normal()]
         };
         assert_eq!(of(1, "a"), of(1, "a"));
@@ -125,9 +125,10 @@
 
     #[test]
     fn distributions_have_the_means_that_they_name() {
-        let mut draw = Draw::new(3, "means");
-        let mut mean =
-            |f: &mut dyn FnMut(&mut Draw) -> f64| (0..40_000).map(|_| f(&mut draw)).sum::<f64>() / 40_000.0;
+        let mut draw = RandomStream::new(3, "means");
+        let mut mean = |f: &mut dyn FnMut(&mut RandomStream) -> f64| {
+            (0..40_000).map(|_| f(&mut draw)).sum::<f64>() / 40_000.0
+        };
         assert!((mean(&mut |d| d.exp()) - 1.0).abs() < 0.03);
         assert!((mean(&mut |d| d.lognormal(1.5)) - 1.0).abs() < 0.06);
         assert!((mean(&mut |d| d.from(Range::Between([2.0, 4.0]))) - 3.0).abs() < 0.03);
--- a/crates/simulator/src/reconnect.rs
+++ b/crates/simulator/src/reconnect.rs
@@ -15,11 +15,11 @@
 
 use crate::backend::At;
 use crate::discovery::Queue;
-use crate::draw::Draw;
+use crate::random::RandomStream;
 
 /// The service and how proxies wait for it. Spans are in ms.
 #[derive(Clone, Copy, Debug)]
-pub struct Storm {
+pub struct ReconnectStorm {
     /// Proxies whose watches break at time 0.
     pub proxies: u32,
     /// Calls a second that the service answers, for each proxy of the fleet.
@@ -65,8 +65,8 @@
 }
 
 /// Plays a storm.
-pub fn play(storm: &Storm, seed: u64) -> Outcome {
-    let mut seeds = Draw::new(seed, "reconnect");
+pub fn play(storm: &ReconnectStorm, seed: u64) -> Outcome {
+    let mut seeds = RandomStream::new(seed, "reconnect");
     let mut proxies: Vec<Balancer> =
         (0..storm.proxies).map(|me| Balancer::new(settings(me, storm.proxies), seeds.seed())).collect();
     let mut heap: BinaryHeap<Reverse<(At, u64, usize)>> = BinaryHeap::new();
--- a/crates/simulator/src/ledger.rs
+++ b/crates/simulator/src/recorder.rs
@@ -4,8 +4,8 @@
 
 use serde::Serialize;
 
-use crate::cold::Measure;
-use crate::day::Day;
+use crate::slow_start::SlowStartReport;
+use crate::workload::Workload;
 
 /// Why a request earned nothing, or that it earned its worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -71,7 +71,7 @@
 
 /// Counts that cost something or tell something.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Sums {
+pub struct Counters {
     /// Tries of clients, and attempts at backends.
     pub tries: u64,
     /// See there.
@@ -100,13 +100,13 @@
 
 /// All that is kept of a day.
 #[derive(Default)]
-pub struct Ledger {
+pub struct Recorder {
     /// One entry a request.
     pub entries: Vec<Entry>,
-    /// Sums.
-    pub sums: Sums,
+    /// Counters.
+    pub sums: Counters,
     /// How near cold backends came to being pushed over.
-    pub cold: Measure,
+    pub cold: SlowStartReport,
     /// Broken rules.
     pub broken: Vec<Broken>,
 }
@@ -138,10 +138,10 @@
     pub by: BTreeMap<&'static str, BTreeMap<String, BTreeMap<End, f64>>>,
     /// Requests.
     pub requests: usize,
-    /// Sums.
-    pub sums: Sums,
+    /// Counters.
+    pub sums: Counters,
     /// How near cold backends came to being pushed over.
-    pub cold: Measure,
+    pub cold: SlowStartReport,
     /// How many rules were broken, and the first few.
     pub broken_rules: usize,
     /// See there.
@@ -170,9 +170,9 @@
     }
 }
 
-impl Ledger {
-    /// Sums the day up.
-    pub fn result(&self, day: &Day, version: &str) -> Result {
+impl Recorder {
+    /// Counters the day up.
+    pub fn result(&self, day: &Workload, version: &str) -> Result {
         let s = &day.scenario;
         let worth =
             |e: &Entry| day.requests[e.request].worth * if e.in_share { 1.0 } else { s.over_share_worth };
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 use crate::discovery::Outage;
-use crate::draw::Range;
+use crate::random::Range;
 
 /// What is wrong with a scenario file: one line with file and place.
 #[derive(Debug, thiserror::Error)]
@@ -72,22 +72,22 @@
     /// The clients.
     pub clients: Clients,
     /// The service that lists backends.
-    pub discovery: DiscoveryOf,
+    pub discovery: DiscoverySpec,
     /// The rule on cold backends.
     pub cold: Cold,
     /// Kinds of machines.
-    pub kinds: Vec<KindOf>,
+    pub kinds: Vec<MachineClassSpec>,
     /// Classes of requests.
-    pub classes: Vec<ClassOf>,
+    pub classes: Vec<ClassSpec>,
     /// Tenants.
-    pub tenants: Vec<TenantOf>,
+    pub tenants: Vec<TenantSpec>,
     /// Worth of a request beyond its tenant's share.
     pub over_share_worth: f64,
     /// Prices, as a part of the worth of a mean request.
     pub prices: Prices,
     /// What happens.
     #[serde(default)]
-    pub faults: Vec<FaultOf>,
+    pub faults: Vec<FaultSpec>,
 }
 
 /// Ways between the parts.
@@ -133,7 +133,7 @@
 /// The list of backends.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct DiscoveryOf {
+pub struct DiscoverySpec {
     /// It knows of a change after this span.
     pub notice_s: Range,
     /// Calls a second that it can answer.
@@ -173,7 +173,7 @@
 /// A kind of machine.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct KindOf {
+pub struct MachineClassSpec {
     /// Its name.
     pub name: String,
     /// Its part of the backends.
@@ -197,7 +197,7 @@
 /// A class of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ClassOf {
+pub struct ClassSpec {
     /// Its name.
     pub name: String,
     /// Its part of the requests.
@@ -213,13 +213,13 @@
     /// What an answer in time is worth.
     pub worth: f64,
     /// `safe`, `unsafe` or `keyed`.
-    pub effect: EffectOf,
+    pub effect: RequestIdempotency,
 }
 
 /// Whether a request may run again.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
-pub enum EffectOf {
+pub enum RequestIdempotency {
     /// As often as one likes.
     Safe,
     /// Never.
@@ -231,7 +231,7 @@
 /// A tenant.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TenantOf {
+pub struct TenantSpec {
     /// Its name.
     pub name: String,
     /// Its part of the traffic.
@@ -295,7 +295,7 @@
 /// A fault with its ranges.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FaultOf {
+pub struct FaultSpec {
     /// What happens.
     pub kind: FaultKind,
     /// When, as a part of the day.
--- a/crates/simulator/src/settings.rs
+++ b/crates/simulator/src/settings.rs
@@ -5,8 +5,8 @@
     Settings, Tenant, WeightMeaning, ZoneId,
 };
 
-use crate::day::Day;
-use crate::scenario::{ClassOf, EffectOf};
+use crate::scenario::{ClassSpec, RequestIdempotency};
+use crate::workload::Workload;
 
 /// Attempts that a request may have.
 pub const MAX_ATTEMPTS: usize = 5;
@@ -14,18 +14,20 @@
 pub const KEYED_WINDOW: f64 = 10_000.0;
 
 /// What a proxy is told, as the operators' settings tell it.
-pub fn settings(day: &Day, p: usize) -> Settings {
+pub fn settings(day: &Workload, p: usize) -> Settings {
     let s = &day.scenario;
-    let class = |c: &ClassOf| RequestClass {
+    let class = |c: &ClassSpec| RequestClass {
         latency_objective: c.aim_ms,
         deadline: c.deadline_ms,
         objective_stretch: 0.0,
         priority_weight: c.worth,
         late_fraction: 0.0,
         idempotency: match c.effect {
-            EffectOf::Safe => Idempotency::Always,
-            EffectOf::Unsafe => Idempotency::Never,
-            EffectOf::Keyed => Idempotency::WithKey { scope: DeduplicationScope::Cell, window: KEYED_WINDOW },
+            RequestIdempotency::Safe => Idempotency::Always,
+            RequestIdempotency::Unsafe => Idempotency::Never,
+            RequestIdempotency::Keyed => {
+                Idempotency::WithKey { scope: DeduplicationScope::Cell, window: KEYED_WINDOW }
+            }
         },
     };
     Settings {
--- a/crates/simulator/src/world/lists.rs
+++ b/crates/simulator/src/simulation/endpoint_lists.rs
@@ -1,23 +1,25 @@
 //! How lists reach the proxies of a day: between the model of discovery, the rule on drains and who decides.
 
-use leadrelay_core::{CallEnd, CallId, DiscoveryEvent, Endpoint as Line, EndpointState, Event, ListScope};
+use leadrelay_core::{
+    CallEnd, CallId, DiscoveryEvent, Endpoint, EndpointState, Event as ProxyEvent, ListScope,
+};
 
-use super::{Ev, World, line};
-use crate::day::Day;
+use super::{Event, Simulation, line};
 use crate::discovery::{Caller, Character, ConnectionId, Effect, Step};
+use crate::workload::Workload;
 
-impl World<'_> {
+impl Simulation<'_> {
     /// A proxy that has just started gets its list as last seen.
     pub(super) fn greet(&mut self, p: usize) {
         self.drains.started(self.now, p);
         let entries = self.proxies[p].list.clone();
         self.proxies[p].starts.clear();
         self.note_starts(p, &entries);
-        self.tell(p, Event::List { scope: ListScope::Cached, entries });
+        self.tell(p, ProxyEvent::List { scope: ListScope::Cached, entries });
     }
 
     /// Notes of which starts a proxy has been told.
-    fn note_starts(&mut self, p: usize, lines: &[Line]) {
+    fn note_starts(&mut self, p: usize, lines: &[Endpoint]) {
         let starts = lines.iter().filter_map(|l| Some((l.id.0 as usize, l.started_at?)));
         self.proxies[p].starts.extend(starts);
     }
@@ -25,7 +27,7 @@
     /// The service learns of a change, late.
     pub(super) fn tell_discovery(&mut self, b: usize, state: EndpointState) {
         let line = line(b, &self.backends[b], state);
-        self.after(self.day.discovery.0, Ev::Notice(line));
+        self.after(self.day.discovery.0, Event::Notice(line));
     }
 
     /// Lets something happen at the service.
@@ -41,8 +43,8 @@
 
     fn follow(&mut self, effect: Effect) {
         match effect {
-            Effect::Later { at, step } => self.at(at, Ev::Discovery(step)),
-            Effect::Read { at, connection, event } => self.at(at, Ev::Read { connection, event }),
+            Effect::Later { at, step } => self.at(at, Event::Discovery(step)),
+            Effect::Read { at, connection, event } => self.at(at, Event::Read { connection, event }),
             Effect::Learned(line) => self.drains.learned(self.now, &line),
             Effect::Wrote { proxy, former, whole, lines } => {
                 self.drains.written(self.now, proxy, former, whole, &lines);
@@ -78,7 +80,7 @@
             self.note_starts(proxy, entries);
         }
         let event = match self.proxies[proxy].brain.follows_calls() {
-            true => Some(Event::Discovery(event)),
+            true => Some(ProxyEvent::Discovery(event)),
             false => as_list(event),
         };
         if let Some(event) = event {
@@ -87,7 +89,7 @@
     }
 
     /// Keeps the list as last seen, for the next process.
-    fn remember(&mut self, p: usize, whole: bool, lines: &[Line]) {
+    fn remember(&mut self, p: usize, whole: bool, lines: &[Endpoint]) {
         let list = &mut self.proxies[p].list;
         if whole {
             return *list = lines.to_vec();
@@ -109,7 +111,7 @@
             }
             self.drains.moved(self.now, p);
             if self.proxies[p].brain.follows_calls() {
-                self.tell(p, Event::Discovery(DiscoveryEvent::Moved));
+                self.tell(p, ProxyEvent::Discovery(DiscoveryEvent::Moved));
             }
         }
     }
@@ -128,15 +130,15 @@
 }
 
 /// What those are told that know of lists alone.
-fn as_list(event: DiscoveryEvent) -> Option<Event> {
+fn as_list(event: DiscoveryEvent) -> Option<ProxyEvent> {
     match event {
         DiscoveryEvent::Update { complete: whole, entries, .. } => {
             let scope = if whole { ListScope::Full } else { ListScope::Delta };
-            Some(Event::List { scope, entries })
+            Some(ProxyEvent::List { scope, entries })
         }
         DiscoveryEvent::Ended {
             end: CallEnd::Unreachable | CallEnd::Malformed | CallEnd::Closed, ..
-        } => Some(Event::List { scope: ListScope::Failed, entries: Vec::new() }),
+        } => Some(ProxyEvent::List { scope: ListScope::Failed, entries: Vec::new() }),
         DiscoveryEvent::Moved
         | DiscoveryEvent::TakeoverStarted
         | DiscoveryEvent::Connected(_)
@@ -145,7 +147,7 @@
 }
 
 /// What a day's discovery is like.
-pub(super) fn character(day: &Day) -> Character {
+pub(super) fn character(day: &Workload) -> Character {
     let of = &day.scenario.discovery;
     Character {
         calls_per_s: day.discovery.1,
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -9,26 +9,26 @@
 use std::rc::Rc;
 
 use leadrelay_core::{
-    Action, AffinityKey, Balancer, CellId, ClassId, DiscoveryEvent, Endpoint as Line, EndpointId,
-    EndpointState, Event, MachineClassId, Outcome, RequestId, TenantId, ZoneId,
+    Action, AffinityKey, Balancer, CellId, ClassId, DiscoveryEvent, Endpoint, EndpointId, EndpointState,
+    Event as ProxyEvent, MachineClassId, Outcome, RequestId, TenantId, ZoneId,
 };
 use rustc_hash::FxHashMap;
 
-use crate::backend::{At, AttemptNo, Backend, Taken};
-use crate::cold::Watch;
-use crate::day::{Day, Fault};
-use crate::decide::{Baseline, Decide, Pick, Truth};
+use crate::adapter::{Adapter, AdapterPolicy};
+use crate::backend::{At, AttemptIndex, Backend, Taken};
 use crate::discovery::{ConnectionId, Service, Step};
-use crate::drains::DrainRule;
-use crate::draw::Draw;
-use crate::ledger::{Broken, End, Entry, Ledger, Result};
-use crate::scenario::{EffectOf, FaultKind};
+use crate::drain_invariant::DrainInvariant;
+use crate::policy::{Baseline, BaselineKind, Policy, TrueState};
+use crate::random::RandomStream;
+use crate::recorder::{Broken, End, Entry, Recorder, Result};
+use crate::scenario::{FaultKind, RequestIdempotency};
 use crate::settings::{KEYED_WINDOW, MAX_ATTEMPTS, settings};
-use crate::wire::{Adapter, Instance};
+use crate::slow_start::Watch;
+use crate::workload::{Fault, Workload};
 
-mod lists;
+mod endpoint_lists;
 
-use lists::character;
+use endpoint_lists::character;
 
 /// Who decides.
 #[derive(Clone, Debug, PartialEq)]
@@ -36,7 +36,7 @@
     /// The core of this build.
     Core,
     /// A baseline.
-    Baseline(Pick),
+    Baseline(BaselineKind),
     /// Another build, by its adapter for the operators' simulator.
     Adapter(PathBuf),
 }
@@ -73,21 +73,21 @@
     Broken,
 }
 
-enum Ev {
+enum Event {
     Arrive(usize),
     Retry(usize),
     AtProxy(usize),
     GiveUp(usize),
     AtClient(usize, Answer),
     Timer { proxy: usize, life: u32, token: u64 },
-    AtBackend(AttemptNo),
+    AtBackend(AttemptIndex),
     Work { backend: usize, generation: u64 },
-    Ended(AttemptNo, Outcome),
-    TimedOut(AttemptNo),
+    Ended(AttemptIndex, Outcome),
+    TimedOut(AttemptIndex),
     Gossip { from: usize, bytes: Rc<[u8]> },
     Discovery(Step),
     Read { connection: ConnectionId, event: DiscoveryEvent },
-    Notice(Line),
+    Notice(Endpoint),
     Look,
     Begin(usize),
     End(usize),
@@ -110,7 +110,7 @@
     open: bool,
     /// The proxy has given its answer, or owes none any more.
     answered: bool,
-    attempts: Vec<AttemptNo>,
+    attempts: Vec<AttemptIndex>,
 }
 
 struct Attempt {
@@ -136,10 +136,10 @@
     died: f64,
     /// Clients are sent elsewhere by plan.
     leaving: bool,
-    brain: Box<dyn Decide>,
+    brain: Box<dyn Policy>,
     idle: FxHashMap<usize, u32>,
     /// The list as last seen.
-    list: Vec<Line>,
+    list: Vec<Endpoint>,
     /// The last start of each backend that it has been told of.
     starts: FxHashMap<usize, f64>,
 }
@@ -152,17 +152,17 @@
     in_share: bool,
 }
 
-struct World<'a> {
-    day: &'a Day,
-    brains: &'a Brains<'a>,
+struct Simulation<'a> {
+    day: &'a Workload,
+    brains: &'a PolicyFactory<'a>,
     now: f64,
     number: u64,
     heap: BinaryHeap<Reverse<(At, u64, usize)>>,
-    slots: Vec<Option<Ev>>,
+    slots: Vec<Option<Event>>,
     free: Vec<usize>,
-    ways: Draw,
-    chance: Draw,
-    seeds: Draw,
+    ways: RandomStream,
+    chance: RandomStream,
+    seeds: RandomStream,
     backends: Vec<Backend>,
     proxies: Vec<Proxy>,
     tries: Vec<Try>,
@@ -170,13 +170,13 @@
     progress: Vec<Progress>,
     allowance: Vec<(f64, f64)>,
     discovery: Service,
-    drains: DrainRule,
+    drains: DrainInvariant,
     cut: Option<usize>,
     /// The first of the proxies that get more, how many they are, and their part of all traffic.
     hot: Option<(usize, usize, f64)>,
-    truth: Truth,
-    late: Truth,
-    ledger: Ledger,
+    truth: TrueState,
+    late: TrueState,
+    ledger: Recorder,
     cold: Watch,
     actions: Vec<Action>,
 }
@@ -185,15 +185,15 @@
 ///
 /// # Errors
 /// If an adapter can't be started.
-pub fn play(day: &Day, version: &Version) -> std::io::Result<Result> {
+pub fn play(day: &Workload, version: &Version) -> std::io::Result<Result> {
     let adapter = match version {
         Version::Adapter(path) => Some(Adapter::start(path)?),
         _ => None,
     };
-    let brains = |p, seed| -> Box<dyn Decide> {
+    let brains = |p, seed| -> Box<dyn Policy> {
         match (version, &adapter) {
             (Version::Baseline(pick), _) => Box::new(Baseline::new(*pick, seed)),
-            (_, Some(adapter)) => Box::new(Instance::new(adapter.clone(), day, p, seed)),
+            (_, Some(adapter)) => Box::new(AdapterPolicy::new(adapter.clone(), day, p, seed)),
             (_, None) => Box::new(Balancer::new(settings(day, p), seed)),
         }
     };
@@ -201,20 +201,20 @@
 }
 
 /// Who decides for a proxy of this number, from this seed.
-pub type Brains<'a> = dyn Fn(usize, u64) -> Box<dyn Decide> + 'a;
+pub type PolicyFactory<'a> = dyn Fn(usize, u64) -> Box<dyn Policy> + 'a;
 
 /// Plays a day by other decisions.
-pub fn play_by(day: &Day, name: &str, brains: &Brains) -> Result {
-    let mut world = World::new(day, brains);
+pub fn play_by(day: &Workload, name: &str, brains: &PolicyFactory) -> Result {
+    let mut world = Simulation::new(day, brains);
     world.run();
     world.ledger.result(day, name)
 }
 
-impl<'a> World<'a> {
-    fn new(day: &'a Day, brains: &'a Brains<'a>) -> Self {
-        let mut seeds = Draw::new(day.seed, "proxies");
+impl<'a> Simulation<'a> {
+    fn new(day: &'a Workload, brains: &'a PolicyFactory<'a>) -> Self {
+        let mut seeds = RandomStream::new(day.seed, "proxies");
         let backends: Vec<Backend> = day.machines.iter().cloned().map(Backend::new).collect();
-        let list: Vec<Line> =
+        let list: Vec<Endpoint> =
             backends.iter().enumerate().map(|(i, b)| line(i, b, EndpointState::Up)).collect();
         let proxy = |(p, &(zone, weight)): (usize, &(usize, f64))| Proxy {
             zone,
@@ -229,7 +229,7 @@
             starts: FxHashMap::default(),
         };
         let proxies = day.proxies.iter().enumerate().map(proxy).collect();
-        let mut world = World {
+        let mut world = Simulation {
             day,
             brains,
             now: 0.0,
@@ -237,8 +237,8 @@
             heap: BinaryHeap::new(),
             slots: Vec::new(),
             free: Vec::new(),
-            ways: Draw::new(day.seed, "ways"),
-            chance: Draw::new(day.seed, "chance"),
+            ways: RandomStream::new(day.seed, "ways"),
+            chance: RandomStream::new(day.seed, "chance"),
             seeds,
             backends,
             proxies,
@@ -247,12 +247,12 @@
             progress: vec![Progress::default(); day.requests.len()],
             allowance: day.allowances.iter().map(|a| (*a, 0.0)).collect(),
             discovery: Service::new(character(day), list, day.seed),
-            drains: DrainRule::new(day.proxies.len(), day.scenario.discovery.pushed),
+            drains: DrainInvariant::new(day.proxies.len(), day.scenario.discovery.pushed),
             cut: None,
             hot: None,
-            truth: Truth::default(),
-            late: Truth::default(),
-            ledger: Ledger::default(),
+            truth: TrueState::default(),
+            late: TrueState::default(),
+            ledger: Recorder::default(),
             cold: Watch::default(),
             actions: Vec::new(),
         };
@@ -266,16 +266,16 @@
             self.greet(p);
         }
         if !self.day.requests.is_empty() {
-            self.at(self.day.requests[0].at, Ev::Arrive(0));
+            self.at(self.day.requests[0].at, Event::Arrive(0));
         }
         for (i, fault) in self.day.faults.iter().enumerate() {
-            self.at(fault.from, Ev::Begin(i));
+            self.at(fault.from, Event::Begin(i));
             if fault.until > fault.from {
-                self.at(fault.until, Ev::End(i));
+                self.at(fault.until, Event::End(i));
             }
         }
-        self.at(self.day.scenario.discovery.push_ms, Ev::Discovery(Step::Push));
-        self.at(LATE, Ev::Look);
+        self.at(self.day.scenario.discovery.push_ms, Event::Discovery(Step::Push));
+        self.at(LATE, Event::Look);
         let end = self.day.length + TAIL;
         while let Some(Reverse((At(at), _, slot))) = self.heap.pop() {
             if at > end {
@@ -300,7 +300,7 @@
         }
     }
 
-    fn at(&mut self, at: f64, event: Ev) {
+    fn at(&mut self, at: f64, event: Event) {
         self.number += 1;
         let slot = self.free.pop().unwrap_or(self.slots.len());
         if slot == self.slots.len() {
@@ -310,7 +310,7 @@
         self.heap.push(Reverse((At(at.max(self.now)), self.number, slot)));
     }
 
-    fn after(&mut self, span: f64, event: Ev) {
+    fn after(&mut self, span: f64, event: Event) {
         self.at(self.now + span, event);
     }
 
@@ -329,54 +329,54 @@
         one != other && self.cut.is_some_and(|cut| cut == one || cut == other)
     }
 
-    fn handle(&mut self, event: Ev) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Ev::Arrive(request) => {
+            Event::Arrive(request) => {
                 if request + 1 < self.day.requests.len() {
-                    self.at(self.day.requests[request + 1].at, Ev::Arrive(request + 1));
+                    self.at(self.day.requests[request + 1].at, Event::Arrive(request + 1));
                 }
                 self.progress[request].in_share = self.within_share(request);
                 self.begin(request);
             }
-            Ev::Retry(request) => self.begin(request),
-            Ev::AtProxy(t) => self.at_proxy(t),
-            Ev::GiveUp(t) => self.give_up(t),
-            Ev::AtClient(t, answer) => self.at_client(t, answer),
-            Ev::Timer { proxy, life, token } => {
+            Event::Retry(request) => self.begin(request),
+            Event::AtProxy(t) => self.at_proxy(t),
+            Event::GiveUp(t) => self.give_up(t),
+            Event::AtClient(t, answer) => self.at_client(t, answer),
+            Event::Timer { proxy, life, token } => {
                 if self.lives(proxy, life) {
-                    self.tell(proxy, Event::Timer(token));
+                    self.tell(proxy, ProxyEvent::Timer(token));
                 }
             }
-            Ev::AtBackend(attempt) => self.at_backend(attempt),
-            Ev::Work { backend, generation } => self.work(backend, generation),
-            Ev::Ended(attempt, outcome) => self.ended(attempt, outcome),
-            Ev::TimedOut(attempt) => self.ended(attempt, Outcome::TimedOut),
-            Ev::Gossip { from, bytes } => self.gossip(from, &bytes),
-            Ev::Discovery(step) => self.step_discovery(step),
-            Ev::Read { connection, event } => self.read(connection, event),
-            Ev::Notice(line) => self.at_discovery(|service, _, out| service.change(line, out)),
-            Ev::Look => {
+            Event::AtBackend(attempt) => self.at_backend(attempt),
+            Event::Work { backend, generation } => self.work(backend, generation),
+            Event::Ended(attempt, outcome) => self.ended(attempt, outcome),
+            Event::TimedOut(attempt) => self.ended(attempt, Outcome::TimedOut),
+            Event::Gossip { from, bytes } => self.gossip(from, &bytes),
+            Event::Discovery(step) => self.step_discovery(step),
+            Event::Read { connection, event } => self.read(connection, event),
+            Event::Notice(line) => self.at_discovery(|service, _, out| service.change(line, out)),
+            Event::Look => {
                 self.late = std::mem::take(&mut self.truth);
                 self.look();
-                self.after(LATE, Ev::Look);
+                self.after(LATE, Event::Look);
             }
-            Ev::Begin(i) => self.begin_fault(i),
-            Ev::End(i) => self.end_fault(i),
-            Ev::Leave(p) => {
+            Event::Begin(i) => self.begin_fault(i),
+            Event::End(i) => self.end_fault(i),
+            Event::Leave(p) => {
                 self.proxies[p].leaving = true;
                 if self.proxies[p].alive {
-                    self.tell(p, Event::Draining(true));
+                    self.tell(p, ProxyEvent::Draining(true));
                 }
             }
-            Ev::Die(p) => self.die(p),
-            Ev::Rise(p) => self.rise(p),
-            Ev::Retire(b) => self.retire(b),
-            Ev::Drain(b) => self.tell_discovery(b, EndpointState::Draining),
-            Ev::Stop(b) => {
+            Event::Die(p) => self.die(p),
+            Event::Rise(p) => self.rise(p),
+            Event::Retire(b) => self.retire(b),
+            Event::Drain(b) => self.tell_discovery(b, EndpointState::Draining),
+            Event::Stop(b) => {
                 self.stop(b);
                 self.tell_discovery(b, EndpointState::Removed);
             }
-            Ev::Return(b) => {
+            Event::Return(b) => {
                 self.backends[b].start(self.now);
                 self.seen_truth(b);
                 self.tell_discovery(b, EndpointState::Up);
@@ -440,8 +440,8 @@
         let (open, answered, attempts) = (true, false, Vec::new());
         self.tries.push(Try { request, proxy, life, sent: self.now, due, open, answered, attempts });
         let way = self.way(self.day.ways[2]);
-        self.after(way, Ev::AtProxy(t));
-        self.at(due, Ev::GiveUp(t));
+        self.after(way, Event::AtProxy(t));
+        self.at(due, Event::GiveUp(t));
     }
 
     fn at_proxy(&mut self, t: usize) {
@@ -452,11 +452,11 @@
         if !self.proxies[proxy].alive {
             self.tries[t].answered = true;
             let way = self.way(self.day.ways[2]);
-            return self.after(way, Ev::AtClient(t, Answer::Broken));
+            return self.after(way, Event::AtClient(t, Answer::Broken));
         }
         self.tries[t].life = self.proxies[proxy].life;
         let r = &self.day.requests[self.tries[t].request];
-        let event = Event::Request {
+        let event = ProxyEvent::Request {
             id: RequestId(t as u64),
             class: ClassId(r.class),
             tenant: (!self.day.allowances.is_empty()).then_some(TenantId(r.tenant)),
@@ -484,7 +484,7 @@
                         format!("request {request}, try {t}"),
                     );
                 }
-                self.tell(proxy, Event::ClientClosed(RequestId(t as u64)));
+                self.tell(proxy, ProxyEvent::ClientClosed(RequestId(t as u64)));
             }
         }
         if early { self.finish(request, end, proxy, None) } else { self.again(t, end, 0.0) }
@@ -560,7 +560,7 @@
         let wait = backoff.max(after.min(2000.0));
         let last = r.at + self.day.scenario.classes[r.class].deadline_ms;
         if tries <= self.day.scenario.clients.retries && self.now + wait < last - 50.0 {
-            return self.after(wait, Ev::Retry(request));
+            return self.after(wait, Event::Retry(request));
         }
         let backend = self.tries[t].attempts.last().map(|a| self.attempts[*a].backend);
         self.finish(request, end, self.tries[t].proxy, backend);
@@ -585,7 +585,7 @@
     }
 
     /// Gives a proxy an event and carries out what it decides.
-    fn tell(&mut self, p: usize, event: Event) {
+    fn tell(&mut self, p: usize, event: ProxyEvent) {
         self.ledger.sums.events += 1;
         let mut actions = std::mem::take(&mut self.actions);
         let brain = &mut self.proxies[p].brain;
@@ -613,7 +613,7 @@
                 self.answer(request.0 as usize, Answer::Refused(retry_after.unwrap_or(0.0)));
             }
             Action::Fail(request) => self.answer(request.0 as usize, Answer::Failed),
-            Action::Timer { token, at } => self.at(at, Ev::Timer { proxy: p, life, token }),
+            Action::Timer { token, at } => self.at(at, Event::Timer { proxy: p, life, token }),
             Action::Broadcast(bytes) => {
                 if bytes.len() > 256 {
                     self.broken("256 bytes a message", format!("proxy {p}: {}", bytes.len()));
@@ -622,7 +622,7 @@
                 self.ledger.sums.messages += 1;
                 self.ledger.sums.peer_bytes += bytes.len() as u64 * receivers;
                 let way = self.way(self.day.ways[3]);
-                self.after(way, Ev::Gossip { from: p, bytes: bytes.into() });
+                self.after(way, Event::Gossip { from: p, bytes: bytes.into() });
             }
             Action::Subscribe { call, after } => self.subscribe(p, call, after),
             Action::Unsubscribe { call, .. } => self.unsubscribe(p, call),
@@ -636,11 +636,11 @@
         }
         let class = self.day.requests[self.tries[t].request].class;
         let ran = self.tries[t].attempts.iter().any(|a| self.attempts[*a].may_have_run);
-        if matches!(answer, Answer::Refused(_)) && ran && self.day.effect(class) != EffectOf::Safe {
+        if matches!(answer, Answer::Refused(_)) && ran && self.day.effect(class) != RequestIdempotency::Safe {
             self.broken("refusals only when harmless", format!("try {t}"));
         }
         let way = self.way(self.day.ways[2]);
-        self.after(way, Ev::AtClient(t, answer));
+        self.after(way, Event::AtClient(t, answer));
     }
 
     fn send(&mut self, p: usize, t: usize, b: usize, timeout: Option<f64>) {
@@ -666,7 +666,7 @@
         });
         self.tries[t].attempts.push(attempt);
         let until = timeout.map_or(due, |ms| due.min(self.now + ms));
-        self.at(until, Ev::TimedOut(attempt));
+        self.at(until, Event::TimedOut(attempt));
         let crosses = self.proxies[p].zone != self.backends[b].machine.zone;
         self.ledger.sums.crossings += u64::from(crosses);
         let way = self.way_to(p, b);
@@ -684,23 +684,23 @@
             if !kept {
                 let wait = self.day.scenario.network.connect_timeout_ms;
                 self.attempts[attempt].met = Some(End::LostWay);
-                self.after(wait, Ev::Ended(attempt, Outcome::ConnectFailed));
+                self.after(wait, Event::Ended(attempt, Outcome::ConnectFailed));
             }
             return;
         }
         if kept {
-            return self.after(way, Ev::AtBackend(attempt));
+            return self.after(way, Event::AtBackend(attempt));
         }
         let backend = &mut self.backends[b];
         if !accepted {
             self.attempts[attempt].met = Some(if backend.up { End::SentToFull } else { End::SentToGone });
-            return self.after(2.0 * way, Ev::Ended(attempt, Outcome::ConnectFailed));
+            return self.after(2.0 * way, Event::Ended(attempt, Outcome::ConnectFailed));
         }
         backend.connections += 1;
         self.ledger.sums.handshakes += 1;
         backend.burden(self.now, self.day.handshake);
         self.reckon(b);
-        self.after(way + handshake, Ev::AtBackend(attempt));
+        self.after(way + handshake, Event::AtBackend(attempt));
     }
 
     /// The rules on a send.
@@ -718,9 +718,9 @@
         if let Some(first) = first.map(|a| &self.attempts[*a]) {
             let cells = (self.backends[first.backend].machine.cell, self.backends[b].machine.cell);
             let fits = match self.day.effect(class) {
-                EffectOf::Safe => true,
-                EffectOf::Unsafe => false,
-                EffectOf::Keyed => cells.0 == cells.1 && self.now - first.sent <= KEYED_WINDOW,
+                RequestIdempotency::Safe => true,
+                RequestIdempotency::Unsafe => false,
+                RequestIdempotency::Keyed => cells.0 == cells.1 && self.now - first.sent <= KEYED_WINDOW,
             };
             if !fits {
                 self.broken("no unsafe repeat", what);
@@ -736,7 +736,7 @@
     }
 
     /// An attempt's end reaches its proxy.
-    fn ended(&mut self, attempt: AttemptNo, outcome: Outcome) {
+    fn ended(&mut self, attempt: AttemptIndex, outcome: Outcome) {
         let a = &self.attempts[attempt];
         let (t, b, number, life, sent) = (a.of, a.backend, a.number, a.life, a.sent);
         let p = self.tries[t].proxy;
@@ -766,9 +766,9 @@
         if outcome == Outcome::Served && !closed {
             (self.tries[t].answered, closed) = (true, true);
             let way = self.way(self.day.ways[2]);
-            self.after(way, Ev::AtClient(t, Answer::Served));
+            self.after(way, Event::AtClient(t, Answer::Served));
         }
-        let event = Event::Ended {
+        let event = ProxyEvent::Ended {
             request: RequestId(t as u64),
             attempt: number,
             latency: self.now - sent,
@@ -787,7 +787,7 @@
                 && near
                 && !self.ways.chance(self.day.scenario.network.peer_loss)
             {
-                self.tell(p, Event::Gossip { from: from as u32, bytes: bytes.to_vec() });
+                self.tell(p, ProxyEvent::Gossip { from: from as u32, bytes: bytes.to_vec() });
             }
         }
     }
@@ -809,7 +809,7 @@
             if tried.proxy == p && tried.life == life && tried.open && !tried.answered {
                 tried.answered = true;
                 let way = self.way(self.day.ways[2]);
-                self.after(way, Ev::AtClient(t, Answer::Broken));
+                self.after(way, Event::AtClient(t, Answer::Broken));
             }
         }
     }
@@ -847,11 +847,11 @@
         self.seen_truth(b);
         let generation = self.backends[b].generation;
         if let Some(at) = self.backends[b].next_end(self.now) {
-            self.at(at, Ev::Work { backend: b, generation });
+            self.at(at, Event::Work { backend: b, generation });
         }
     }
 
-    fn at_backend(&mut self, attempt: AttemptNo) {
+    fn at_backend(&mut self, attempt: AttemptIndex) {
         let a = &self.attempts[attempt];
         let (t, b, work, told) = (a.of, a.backend, a.work, a.told);
         let p = self.tries[t].proxy;
@@ -875,19 +875,19 @@
         let fails = self.backends[b].failing;
         if self.backends[b].up && fails > 0.0 && self.chance.chance(fails) {
             self.attempts[attempt].met = Some(End::SentToIll);
-            return self.after(QUICK + way, Ev::Ended(attempt, Outcome::Error));
+            return self.after(QUICK + way, Event::Ended(attempt, Outcome::Error));
         }
         let key = self.day.requests[self.tries[t].request].key;
         match self.backends[b].arrive(self.now, attempt, work, key) {
             Taken::In => self.reckon(b),
             Taken::Full => {
                 self.attempts[attempt].met = Some(End::SentToFull);
-                self.after(way, Ev::Ended(attempt, Outcome::Rejected));
+                self.after(way, Event::Ended(attempt, Outcome::Rejected));
             }
             Taken::Silent => {}
             Taken::Down => {
                 self.attempts[attempt].met = Some(End::SentToGone);
-                self.after(way, Ev::Ended(attempt, Outcome::ConnectFailed));
+                self.after(way, Event::Ended(attempt, Outcome::ConnectFailed));
             }
         }
     }
@@ -910,7 +910,7 @@
             self.attempts[attempt].met = Some(End::Error);
         }
         let way = self.way_to(p, b);
-        self.after(way, Ev::Ended(attempt, if error { Outcome::Error } else { Outcome::Served }));
+        self.after(way, Event::Ended(attempt, if error { Outcome::Error } else { Outcome::Served }));
     }
 
     /// A backend's process ends: its connections break.
@@ -919,7 +919,7 @@
         for attempt in lost {
             self.attempts[attempt].met = Some(End::SentToGone);
             let way = self.way_to(self.tries[self.attempts[attempt].of].proxy, b);
-            self.after(way, Ev::Ended(attempt, Outcome::Reset));
+            self.after(way, Event::Ended(attempt, Outcome::Reset));
         }
         for proxy in &mut self.proxies {
             proxy.idle.remove(&b);
@@ -932,7 +932,7 @@
         self.backends[b].draining = true;
         self.seen_truth(b);
         self.tell_discovery(b, EndpointState::Draining);
-        self.after(DRAIN, Ev::Stop(b));
+        self.after(DRAIN, Event::Stop(b));
         let mut fresh = Backend::new(self.backends[b].machine.clone());
         fresh.start(self.now);
         let number = self.backends.len();
@@ -949,7 +949,7 @@
 
     /// The members of a part of `n`, drawn for this fault alone.
     fn struck(&self, i: usize, n: usize) -> Vec<usize> {
-        let mut draw = Draw::new(self.day.seed, &format!("fault {i}"));
+        let mut draw = RandomStream::new(self.day.seed, &format!("fault {i}"));
         let mut all: Vec<usize> = (0..n).collect();
         let count = (self.day.faults[i].part * n as f64).round() as usize;
         for k in 0..count.min(n) {
@@ -968,29 +968,29 @@
                 for p in self.struck(i, self.proxies.len()) {
                     self.die(p);
                     let spread = 1.0 + 0.2 * self.chance.unit();
-                    self.after(size * 1000.0 * spread, Ev::Rise(p));
+                    self.after(size * 1000.0 * spread, Event::Rise(p));
                 }
             }
             FaultKind::RollProxies => {
                 let n = self.proxies.len();
                 for p in 0..n {
                     let at = from + (until - from) * p as f64 / n as f64;
-                    self.at(at, Ev::Leave(p));
-                    self.at(at + FAREWELL, Ev::Die(p));
-                    self.at(at + FAREWELL + size * 1000.0, Ev::Rise(p));
+                    self.at(at, Event::Leave(p));
+                    self.at(at + FAREWELL, Event::Die(p));
+                    self.at(at + FAREWELL + size * 1000.0, Event::Rise(p));
                 }
             }
             FaultKind::ReplaceBackends => {
                 let all = self.struck(i, initial);
                 let n = all.len().max(1) as f64;
                 for (k, b) in all.into_iter().enumerate() {
-                    self.at(from + (until - from) * k as f64 / n, Ev::Retire(b));
+                    self.at(from + (until - from) * k as f64 / n, Event::Retire(b));
                 }
             }
             FaultKind::LoseZone => {
                 for b in (0..initial).filter(|b| self.day.machines[*b].zone == 0) {
                     self.stop(b);
-                    self.at(until, Ev::Return(b));
+                    self.at(until, Event::Return(b));
                 }
             }
             FaultKind::CutZone => self.cut = Some(self.day.scenario.zones.len() - 1),
@@ -998,7 +998,7 @@
                 self.ail(i, true)
             }
             FaultKind::HotProxies => {
-                let mut draw = Draw::new(self.day.seed, &format!("fault {i}"));
+                let mut draw = RandomStream::new(self.day.seed, &format!("fault {i}"));
                 let n = self.proxies.len();
                 let count = ((self.day.faults[i].part * n as f64).round() as usize).clamp(1, n);
                 self.hot = Some((draw.below(n), count, size.min(0.95)));
@@ -1014,9 +1014,9 @@
                 let n = all.len().max(1) as f64;
                 for (k, b) in all.into_iter().enumerate() {
                     let at = from + (until - from) * k as f64 / n;
-                    self.at(at, Ev::Drain(b));
+                    self.at(at, Event::Drain(b));
                     if size > 0.0 {
-                        self.at(at + size * 1000.0, Ev::Stop(b));
+                        self.at(at + size * 1000.0, Event::Stop(b));
                     }
                 }
             }
@@ -1055,9 +1055,9 @@
 }
 
 /// What the list says of a backend.
-fn line(number: usize, backend: &Backend, state: EndpointState) -> Line {
+fn line(number: usize, backend: &Backend, state: EndpointState) -> Endpoint {
     let m = &backend.machine;
-    Line {
+    Endpoint {
         id: EndpointId(number as u64),
         zone: Some(ZoneId(m.zone as u32)),
         machine_class: Some(MachineClassId(m.kind as u32)),
--- a/crates/simulator/src/cold.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::backend::Backend;
-use crate::day::Day;
+use crate::workload::Workload;
 
 /// The part of a fall's requests beyond which those told of the start are to blame.
 const BLAMED: f64 = 2.0 / 3.0;
@@ -42,7 +42,7 @@
 
 /// A day's measure. A window ends at each request that reaches a cold backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Measure {
+pub struct SlowStartReport {
     /// Cold backends that got a request.
     pub starts: usize,
     /// Windows.
@@ -67,12 +67,14 @@
 #[derive(Default)]
 pub struct Watch {
     backends: Vec<Recent>,
-    measure: Measure,
+    measure: SlowStartReport,
 }
 
 impl Watch {
     /// A request of a class reaches a backend that is up.
-    pub fn note(&mut self, now: f64, day: &Day, number: usize, backend: &Backend, class: usize, told: bool) {
+    pub fn note(
+        &mut self, now: f64, day: &Workload, number: usize, backend: &Backend, class: usize, told: bool,
+    ) {
         let cold = &day.scenario.cold;
         let (age, span) = (now - backend.born, cold.span_s * 1000.0);
         if age >= span {
@@ -115,7 +117,7 @@
     }
 
     /// What was seen so far.
-    pub fn measure(&self) -> Measure {
+    pub fn measure(&self) -> SlowStartReport {
         self.measure
     }
 }
--- a/crates/simulator/src/day.rs
+++ b/crates/simulator/src/workload.rs
@@ -1,7 +1,7 @@
 //! One day, drawn from a scenario by a seed. Nothing in it depends on what proxies decide.
 
-use crate::draw::{Draw, Zipf};
-use crate::scenario::{EffectOf, FaultKind, Scenario};
+use crate::random::{RandomStream, Zipf};
+use crate::scenario::{FaultKind, RequestIdempotency, Scenario};
 
 /// What a backend is.
 #[derive(Clone, Debug)]
@@ -75,7 +75,7 @@
 }
 
 /// A day.
-pub struct Day {
+pub struct Workload {
     /// What it was drawn from.
     pub scenario: Scenario,
     /// The seed.
@@ -129,11 +129,11 @@
     })
 }
 
-impl Day {
+impl Workload {
     /// Draws a day.
-    pub fn draw(scenario: &Scenario, seed: u64) -> Self {
+    pub fn sample(scenario: &Scenario, seed: u64) -> Self {
         let s = scenario;
-        let mut fleet = Draw::new(seed, "fleet");
+        let mut fleet = RandomStream::new(seed, "fleet");
         let zones = s.zones.len();
         let cell_size = 4;
         let kinds = deal(s.backends, &s.kinds.iter().map(|k| k.share).collect::<Vec<_>>());
@@ -169,7 +169,7 @@
         let total: f64 = zone_parts.iter().sum();
         zone_parts.iter_mut().for_each(|z| *z /= total);
         let length = s.seconds * 1000.0;
-        let mut timeline = Draw::new(seed, "faults");
+        let mut timeline = RandomStream::new(seed, "faults");
         let faults: Vec<Fault> = s
             .faults
             .iter()
@@ -179,7 +179,7 @@
                 Fault { kind: f.kind, from, until, part: timeline.from(f.part), size: timeline.from(f.size) }
             })
             .collect();
-        let mut day = Day {
+        let mut day = Workload {
             scenario: scenario.clone(),
             seed,
             length,
@@ -212,7 +212,7 @@
 
     fn draw_requests(&mut self, zone_parts: &[f64]) {
         let s = self.scenario.clone();
-        let mut draw = Draw::new(self.seed, "clients");
+        let mut draw = RandomStream::new(self.seed, "clients");
         let load = draw.from(s.load);
         let works: Vec<f64> = s.classes.iter().map(|c| draw.from(c.work_ms)).collect();
         self.works.clone_from(&works);
@@ -220,7 +220,7 @@
         let shares: f64 = s.classes.iter().map(|c| c.share).sum();
         let rate = load * self.capacity / self.mean_work(); // a ms
         let tenants: f64 = s.tenants.iter().map(|t| t.share).sum();
-        let allowance = |t: &crate::scenario::TenantOf, draw: &mut Draw| {
+        let allowance = |t: &crate::scenario::TenantSpec, draw: &mut RandomStream| {
             rate * 1000.0 * t.share / tenants.max(1e-9) * draw.from(t.allowance)
         };
         self.allowances = s.tenants.iter().map(|t| allowance(t, &mut draw)).collect();
@@ -272,7 +272,7 @@
     }
 
     /// Whether a class may run again.
-    pub fn effect(&self, class: usize) -> EffectOf {
+    pub fn effect(&self, class: usize) -> RequestIdempotency {
         self.scenario.classes[class].effect
     }
 }
--- a/crates/simulator/tests/days.rs
+++ b/crates/simulator/tests/days.rs
@@ -2,10 +2,10 @@
 use std::path::{Path, PathBuf};
 
 use leadrelay_core::{Action, Event, Outcome, RejectionReason};
-use leadrelay_simulator::decide::Baseline;
-use leadrelay_simulator::draw::Range;
+use leadrelay_simulator::policy::Baseline;
+use leadrelay_simulator::random::Range;
 use leadrelay_simulator::scenario::FaultKind;
-use leadrelay_simulator::{Day, Decide, End, Pick, Scenario, Truth, Version, play_by};
+use leadrelay_simulator::{BaselineKind, End, Policy, Scenario, TrueState, Version, Workload, play_by};
 
 fn scenarios() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios")
@@ -15,15 +15,15 @@
     Scenario::read(&scenarios().join(name)).expect("good")
 }
 
-fn play(day: &Day, version: Version) -> leadrelay_simulator::Result {
+fn play(day: &Workload, version: Version) -> leadrelay_simulator::Result {
     leadrelay_simulator::play(day, &version).expect("no adapter to start")
 }
 
 /// A day small enough for a test, with this scenario's faults.
-fn small(name: &str, seed: u64) -> Day {
+fn small(name: &str, seed: u64) -> Workload {
     let mut s = scenario(name);
     (s.proxies, s.backends, s.seconds) = (s.proxies.min(8), s.backends.min(20), s.seconds.min(25.0));
-    Day::draw(&s, seed)
+    Workload::sample(&s, seed)
 }
 
 fn all() -> Vec<String> {
@@ -76,8 +76,8 @@
 /// Decides by chance, and lets one rule be broken.
 struct Breaks(Baseline, fn(&Event, &mut Vec<Action>));
 
-impl Decide for Breaks {
-    fn handle(&mut self, now: f64, event: Event, truth: (&Truth, &Truth), out: &mut Vec<Action>) {
+impl Policy for Breaks {
+    fn handle(&mut self, now: f64, event: Event, truth: (&TrueState, &TrueState), out: &mut Vec<Action>) {
         let before = out.len();
         self.0.handle(now, event.clone(), truth, out);
         let mut own = out.split_off(before);
@@ -146,8 +146,9 @@
         ("drains are kept", floods, "join-mass.toml"),
         ("no cold backend is pushed over", floods, "join-mass.toml"),
     ] {
-        let brains =
-            move |_, seed| -> Box<dyn Decide> { Box::new(Breaks(Baseline::new(Pick::Random, seed), breaks)) };
+        let brains = move |_, seed| -> Box<dyn Policy> {
+            Box::new(Breaks(Baseline::new(BaselineKind::Random, seed), breaks))
+        };
         let result = play_by(&small(day, 1), rule, &brains);
         let rules: Vec<&str> = result.broken.iter().map(|b| b.rule).collect();
         assert!(rules.contains(&rule), "{rule}: {rules:?}");
@@ -160,13 +161,14 @@
         let of = |seed| play(&small("headend.toml", seed), Version::Baseline(pick)).served;
         (1..5).map(of).sum::<f64>() / 4.0
     };
-    let (random, two, sees) = (served(Pick::Random), served(Pick::TwoChoices), served(Pick::SeesAll));
+    let (random, two, sees) =
+        (served(BaselineKind::Random), served(BaselineKind::TwoChoices), served(BaselineKind::SeesAll));
     assert!(random < two && two < sees, "{random} {two} {sees}");
 }
 
 #[test]
 fn a_fault_costs_what_it_strikes() {
-    let day = |name: &str| play(&small(name, 5), Version::Baseline(Pick::SeesAll));
+    let day = |name: &str| play(&small(name, 5), Version::Baseline(BaselineKind::SeesAll));
     let of = |result: &leadrelay_simulator::Result, end| result.ends.get(&end).copied().unwrap_or(0.0);
     let (calm, herd, split) = (day("calm-mass.toml"), day("herd-mass.toml"), day("split-mass.toml"));
     assert_eq!((of(&calm, End::ProxyDead), of(&calm, End::LostWay)), (0.0, 0.0));
@@ -185,7 +187,7 @@
             s.faults[0].kind = FaultKind::KillProxies;
             s.faults[0].part = Range::One(1.0);
         }
-        let result = play(&Day::draw(&s, 5), Version::Baseline(Pick::SeesAll));
+        let result = play(&Workload::sample(&s, 5), Version::Baseline(BaselineKind::SeesAll));
         result.sums.tries as f64 / result.requests as f64 - 1.0
     };
     let (planned, killed) = (again(true), again(false));
--- a/crates/simulator/tests/drains.rs
+++ b/crates/simulator/tests/drains.rs
@@ -4,14 +4,14 @@
 use std::path::Path;
 
 use leadrelay_core::{
-    Action, Balancer, DiscoveryEvent, Endpoint as Line, EndpointId, EndpointState, Event, Settings,
+    Action, Balancer, DiscoveryEvent, Endpoint, EndpointId, EndpointState, Event, Settings,
 };
 use leadrelay_simulator::discovery::Outage;
-use leadrelay_simulator::drains::{DrainRule, Ground};
-use leadrelay_simulator::draw::Range;
-use leadrelay_simulator::scenario::{FaultKind, FaultOf};
+use leadrelay_simulator::drain_invariant::{DrainInvariant, NotificationBasis};
+use leadrelay_simulator::random::Range;
+use leadrelay_simulator::scenario::{FaultKind, FaultSpec};
 use leadrelay_simulator::settings::settings;
-use leadrelay_simulator::{Day, Decide, Result, Scenario, Truth, play_by};
+use leadrelay_simulator::{Policy, Result, Scenario, TrueState, Workload, play_by};
 
 const RULE: &str = "drains are kept";
 /// Proxies, and how many days are played with so many.
@@ -29,18 +29,18 @@
     Pushed,
 }
 
-fn fault(kind: FaultKind, second: f64, seconds: f64, part: f64, size: f64) -> FaultOf {
+fn fault(kind: FaultKind, second: f64, seconds: f64, part: f64, size: f64) -> FaultSpec {
     let at = Range::One(second / SECONDS);
-    FaultOf { kind, at, seconds: Range::One(seconds), part: Range::One(part), size: Range::One(size) }
+    FaultSpec { kind, at, seconds: Range::One(seconds), part: Range::One(part), size: Range::One(size) }
 }
 
 /// A quarter of the backends drains over the span; they stay up and go on answering.
-fn drain(second: f64, seconds: f64) -> FaultOf {
+fn drain(second: f64, seconds: f64) -> FaultSpec {
     fault(FaultKind::DrainBackends, second, seconds, 0.25, 0.0)
 }
 
 /// A day with twelve backends and few requests for each proxy, whose clients try once.
-fn scenario(proxies: usize, lists: Lists, calls_per_s: f64, faults: Vec<FaultOf>) -> Scenario {
+fn scenario(proxies: usize, lists: Lists, calls_per_s: f64, faults: Vec<FaultSpec>) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/headend.toml");
     let mut s = Scenario::read(&file).expect("good");
     (s.proxies, s.backends, s.seconds) = (proxies, 12, SECONDS);
@@ -59,7 +59,7 @@
 /// Takes every backend that it was ever told of for one that takes work.
 struct IgnoresDrains {
     core: Balancer,
-    known: BTreeMap<EndpointId, Line>,
+    known: BTreeMap<EndpointId, Endpoint>,
 }
 
 impl IgnoresDrains {
@@ -68,13 +68,13 @@
     }
 }
 
-impl Decide for IgnoresDrains {
-    fn handle(&mut self, now: f64, mut event: Event, _: (&Truth, &Truth), out: &mut Vec<Action>) {
+impl Policy for IgnoresDrains {
+    fn handle(&mut self, now: f64, mut event: Event, _: (&TrueState, &TrueState), out: &mut Vec<Action>) {
         if let Event::List { entries, .. } | Event::Discovery(DiscoveryEvent::Update { entries, .. }) =
             &mut event
         {
             for line in entries.drain(..).filter(|line| line.state != EndpointState::Removed) {
-                self.known.insert(line.id, Line { state: EndpointState::Up, ..line });
+                self.known.insert(line.id, Endpoint { state: EndpointState::Up, ..line });
             }
             entries.extend(self.known.values().cloned());
         }
@@ -86,17 +86,17 @@
     }
 }
 
-fn play_core(day: &Day) -> Result {
+fn play_core(day: &Workload) -> Result {
     play_by(day, "core", &|p, seed| Box::new(Balancer::new(settings(day, p), seed)))
 }
 
 /// Plays a day by the core without a bound on the age of its list.
-fn play_unbounded(day: &Day) -> Result {
+fn play_unbounded(day: &Workload) -> Result {
     let settings = |p| Settings { notification_bounds: None, ..settings(day, p) };
     play_by(day, "unbounded", &|p, seed| Box::new(Balancer::new(settings(p), seed)))
 }
 
-fn play_ignorant(day: &Day) -> Result {
+fn play_ignorant(day: &Workload) -> Result {
     play_by(day, "ignores drains", &|p, seed| Box::new(IgnoresDrains::new(settings(day, p), seed)))
 }
 
@@ -124,7 +124,7 @@
 fn hold(name: &str, proxies: usize, days: u64, expected: Expected, scenario: &Scenario) {
     let (mut ignorant, mut unbounded) = (0u64, 0u64);
     for seed in 1..=days {
-        let day = Day::draw(scenario, seed);
+        let day = Workload::sample(scenario, seed);
         let core = play_core(&day);
         let told = format!("{name}, {proxies} proxies, seed {seed}");
         assert_eq!(core.broken_rules, 0, "{told}: {:#?}", core.broken);
@@ -242,28 +242,28 @@
     }
 }
 
-fn line(state: EndpointState) -> Line {
-    Line { id: EndpointId(7), state, ..Line::default() }
+fn line(state: EndpointState) -> Endpoint {
+    Endpoint { id: EndpointId(7), state, ..Endpoint::default() }
 }
 
 /// Since when the drain of the backend, had by discovery at a time, counts as known to the first proxy.
-fn known(rule: &DrainRule) -> Option<(f64, Ground)> {
+fn known(rule: &DrainInvariant) -> Option<(f64, NotificationBasis)> {
     rule.known_since(0, 7).map(|known| (known.at, known.ground))
 }
 
 #[test]
 fn each_ground_of_the_rule_has_its_moment() {
     let watching = |pushed| {
-        let mut rule = DrainRule::new(1, pushed);
+        let mut rule = DrainInvariant::new(1, pushed);
         rule.written(1000.0, 0, false, true, &[line(EndpointState::Up)]);
         rule
     };
     let mut rule = watching(false);
     assert_eq!(known(&rule), None);
     rule.learned(10_000.0, &line(EndpointState::Draining));
-    assert_eq!(known(&rule), Some((16_000.0, Ground::Assumed)), "whatever calls fail");
+    assert_eq!(known(&rule), Some((16_000.0, NotificationBasis::Assumed)), "whatever calls fail");
     rule.written(10_500.0, 0, false, false, &[line(EndpointState::Draining)]);
-    assert_eq!(known(&rule), Some((10_500.0, Ground::Written)));
+    assert_eq!(known(&rule), Some((10_500.0, NotificationBasis::Written)));
     assert!(rule.check(0, 7, 12_550.0).is_ok(), "the grace and its slack");
     let forbidden = rule.check(0, 7, 12_551.0).expect_err("it is too late").to_string();
     assert_eq!(
@@ -274,37 +274,45 @@
     let mut rule = watching(false);
     rule.learned(10_000.0, &line(EndpointState::Draining));
     rule.written(11_000.0, 0, false, true, &[]);
-    assert_eq!(known(&rule), Some((11_000.0, Ground::Written)), "a whole list that leaves it out");
+    assert_eq!(known(&rule), Some((11_000.0, NotificationBasis::Written)), "a whole list that leaves it out");
 
     let mut rule = watching(false);
     rule.fell_silent(8000.0, 0);
     rule.learned(10_000.0, &line(EndpointState::Draining));
-    assert_eq!(known(&rule), Some((14_000.0, Ground::Silent)));
+    assert_eq!(known(&rule), Some((14_000.0, NotificationBasis::Silent)));
     rule.written(11_000.0, 0, false, true, &[line(EndpointState::Up)]);
-    assert_eq!(known(&rule), Some((16_000.0, Ground::Assumed)), "the list has been told anew");
+    assert_eq!(known(&rule), Some((16_000.0, NotificationBasis::Assumed)), "the list has been told anew");
 
     let mut rule = watching(false);
     rule.moved(9000.0, 0);
     rule.learned(10_000.0, &line(EndpointState::Draining));
-    assert_eq!(known(&rule), Some((13_000.0, Ground::Moved)));
+    assert_eq!(known(&rule), Some((13_000.0, NotificationBasis::Moved)));
 
     let mut rule = watching(true);
     rule.learned(10_000.0, &line(EndpointState::Draining));
-    assert_eq!(known(&rule), Some((10_000.0, Ground::Pushed)), "at once");
+    assert_eq!(known(&rule), Some((10_000.0, NotificationBasis::Pushed)), "at once");
     rule.started(12_000.0, 0);
-    assert_eq!(known(&rule), Some((12_000.0, Ground::Pushed)), "from the first moment of a new process");
+    assert_eq!(
+        known(&rule),
+        Some((12_000.0, NotificationBasis::Pushed)),
+        "from the first moment of a new process"
+    );
 
     let mut rule = watching(true);
     rule.fell_silent(9000.0, 0);
     rule.learned(10_000.0, &line(EndpointState::Draining));
-    assert_eq!(known(&rule), Some((15_000.0, Ground::Silent)), "one clock for silence");
+    assert_eq!(known(&rule), Some((15_000.0, NotificationBasis::Silent)), "one clock for silence");
     rule.watch_closed(12_000.0, 0);
-    assert_eq!(known(&rule), Some((12_000.0, Ground::Pushed)), "given up, the agent's clock holds again");
+    assert_eq!(
+        known(&rule),
+        Some((12_000.0, NotificationBasis::Pushed)),
+        "given up, the agent's clock holds again"
+    );
 
     let mut rule = watching(true);
     rule.moved(9000.0, 0);
     rule.learned(10_000.0, &line(EndpointState::Draining));
-    assert_eq!(known(&rule), Some((13_000.0, Ground::Moved)));
+    assert_eq!(known(&rule), Some((13_000.0, NotificationBasis::Moved)));
     rule.learned(11_000.0, &line(EndpointState::Up));
     assert_eq!(known(&rule), None, "it takes work again");
 }
--- a/crates/simulator/tests/reconnect.rs
+++ b/crates/simulator/tests/reconnect.rs
@@ -1,8 +1,8 @@
 //! A fleet whose watches all break at once, before a discovery that answers few calls.
-use leadrelay_simulator::reconnect::{Storm, play};
+use leadrelay_simulator::reconnect::{ReconnectStorm, play};
 
-fn storm(proxies: u32, patience_ms: f64) -> Storm {
-    Storm {
+fn storm(proxies: u32, patience_ms: f64) -> ReconnectStorm {
+    ReconnectStorm {
         proxies,
         calls_per_s: 0.25,
         limit_ms: 2000.0,
