--- a/crates/simulator/src/commands/reconnect.rs
+++ b/crates/simulator/src/commands/reconnect.rs
@@ -1,14 +1,15 @@
 //! `leadrelay-simulator reconnect`: storms of calls to discovery, for fleets of several sizes.
 
 use clap::Args;
-use leadrelay_simulator::reconnect::{Outcome, ReconnectStorm, play};
+use leadrelay_simulator::reconnect::{ReconnectStorm, StormResult, simulate_storm};
 use rayon::prelude::*;
 
-use crate::{positive, table};
+use super::{CommandError, Verdict};
+use crate::arguments::{positive, seed_count};
+use crate::table::table;
 
-/// The storms.
 #[derive(Debug, Args)]
-pub struct Reconnect {
+pub struct Arguments {
     /// Fleets, by their proxies
     #[arg(long, value_delimiter = ',', default_values_t = [30, 300, 1000],
         value_parser = clap::value_parser!(u32).range(1..=10_000))]
@@ -22,26 +23,45 @@
     /// Refusals come when that wait is over, not at once
     #[arg(long)]
     late_refusals: bool,
-    /// A proxy gives a call up after this span, in ms
+    /// A proxy gives a call up after this time, in ms
     #[arg(long, default_value_t = 3000.0, value_parser = positive)]
     patience_ms: f64,
-    /// For how long the storm is looked at, in ms
+    /// For how long the storm is observed, in ms
     #[arg(long, default_value_t = 30_000.0, value_parser = positive)]
     length_ms: f64,
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many storms, each by the next seed
-    #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=1000))]
+    /// How many storms, each with the next seed
+    #[arg(long, default_value_t = 20, value_parser = seed_count())]
     seeds: u64,
     /// Results as JSON, one line a storm
     #[arg(long)]
     json: bool,
 }
 
-/// Plays them and shows the table.
-pub fn run(options: &Reconnect) -> std::result::Result<bool, String> {
-    let mut shown = table(&[
+impl Arguments {
+    fn storm(&self, proxies: u32) -> ReconnectStorm {
+        ReconnectStorm {
+            proxies,
+            calls_per_s: self.calls_per_s,
+            max_wait: self.limit_ms,
+            late_refusals: self.late_refusals,
+            call_timeout: self.patience_ms,
+            duration: self.length_ms,
+        }
+    }
+
+    fn simulate(&self, proxies: u32) -> Vec<StormResult> {
+        let storm = self.storm(proxies);
+        let seeds: Vec<u64> = (self.seed..self.seed + self.seeds).collect();
+        seeds.par_iter().map(|seed| simulate_storm(&storm, *seed)).collect()
+    }
+}
+
+/// Simulates the storms and prints the results.
+pub fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
+    let mut shown = table([
         "proxies",
         "half listed, s",
         "last listed, s",
@@ -52,48 +72,52 @@
         "given up",
         "most calls/s",
     ]);
-    for &proxies in &options.proxies {
-        let storm = ReconnectStorm {
-            proxies,
-            calls_per_s: options.calls_per_s,
-            limit_ms: options.limit_ms,
-            late_refusals: options.late_refusals,
-            patience_ms: options.patience_ms,
-            length_ms: options.length_ms,
-        };
-        let seeds: Vec<u64> = (options.seed..options.seed + options.seeds).collect();
-        let outcomes: Vec<_> = seeds.par_iter().map(|seed| play(&storm, *seed)).collect();
-        if options.json {
-            for outcome in &outcomes {
-                println!("{}", serde_json::to_string(outcome).map_err(|e| e.to_string())?);
+    for &proxies in &arguments.proxies {
+        let results = arguments.simulate(proxies);
+        if arguments.json {
+            for result in &results {
+                println!("{}", serde_json::to_string(result)?);
             }
-            continue;
+        } else {
+            shown.add_row(row(proxies, &results));
         }
-        let count = outcomes.len() as f64;
-        // A storm that does not end within the span looked at has no last one.
-        let seconds = |ms: Option<f64>| ms.map_or("never".into(), |ms| format!("{:.1}", ms / 1000.0));
-        let mean = |f: &dyn Fn(&Outcome) -> Option<f64>| {
-            let all: Option<Vec<f64>> = outcomes.iter().map(f).collect();
-            seconds(all.map(|all| all.iter().sum::<f64>() / count))
-        };
-        let worst: Option<Vec<f64>> = outcomes.iter().map(|o| o.last_ms).collect();
-        let of = |f: &dyn Fn(&Outcome) -> usize| {
-            format!("{:.1}", outcomes.iter().map(f).sum::<usize>() as f64 / count)
-        };
-        shown.add_row([
-            proxies.to_string(),
-            mean(&|o| o.half_ms),
-            mean(&|o| o.last_ms),
-            seconds(worst.map(|all| all.into_iter().fold(0.0, f64::max))),
-            of(&|o| o.ignorant),
-            of(&|o| o.calls),
-            of(&|o| o.refused),
-            of(&|o| o.given_up),
-            of(&|o| o.most_calls_per_s),
-        ]);
     }
-    if !options.json {
-        println!("{} storms from seed {}, means\n{shown}", options.seeds, options.seed);
+    if !arguments.json {
+        println!("{} storms from seed {}, means\n{shown}", arguments.seeds, arguments.seed);
     }
-    Ok(true)
+    Ok(Verdict::Passed)
+}
+
+fn row(proxies: u32, results: &[StormResult]) -> [String; 9] {
+    [
+        proxies.to_string(),
+        mean_time(results, |result| result.half_ms),
+        mean_time(results, |result| result.last_ms),
+        worst_time(results),
+        mean_count(results, |result| result.without_list),
+        mean_count(results, |result| result.calls),
+        mean_count(results, |result| result.refused),
+        mean_count(results, |result| result.given_up),
+        mean_count(results, |result| result.max_calls_per_s),
+    ]
+}
+
+/// The mean of a time; none if it is missing in a storm, which did not end within the time observed.
+fn mean_time(results: &[StormResult], time: impl Fn(&StormResult) -> Option<f64>) -> String {
+    let times: Option<Vec<f64>> = results.iter().map(time).collect();
+    seconds(times.map(|times| times.iter().sum::<f64>() / results.len() as f64))
+}
+
+fn worst_time(results: &[StormResult]) -> String {
+    let times: Option<Vec<f64>> = results.iter().map(|result| result.last_ms).collect();
+    seconds(times.map(|times| times.into_iter().fold(0.0, f64::max)))
+}
+
+fn seconds(ms: Option<f64>) -> String {
+    ms.map_or("never".into(), |ms| format!("{:.1}", ms / 1000.0))
+}
+
+fn mean_count(results: &[StormResult], count: impl Fn(&StormResult) -> usize) -> String {
+    let total: usize = results.iter().map(count).sum();
+    format!("{:.1}", total as f64 / results.len() as f64)
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,21 +3,27 @@
 
 pub mod adapter;
 pub mod backend;
-pub mod compare;
+pub mod baseline;
 pub mod discovery;
-pub mod drain_invariant;
+pub mod drain_rule;
+pub mod index;
+pub mod paired_difference;
 pub mod policy;
 pub mod random;
 pub mod reconnect;
-pub mod recorder;
+pub mod report;
 pub mod scenario;
 pub mod settings;
 pub mod simulation;
 pub mod slow_start;
+pub mod time;
+pub mod version;
 pub mod workload;
 
-pub use policy::{BaselineKind, Policy, TrueState};
-pub use recorder::{End, Result};
+pub use baseline::{Baseline, BaselineKind};
+pub use policy::{FleetView, Policy, TrueState};
+pub use report::{RequestOutcome, Rule, RunResult};
 pub use scenario::{Scenario, ScenarioError};
-pub use simulation::{Version, play, play_by};
+pub use simulation::simulate_with;
+pub use version::{Version, simulate};
 pub use workload::Workload;
--- a/crates/simulator/src/reconnect.rs
+++ b/crates/simulator/src/reconnect.rs
@@ -1,23 +1,30 @@
 //! A reconnection storm: all watches of a fleet break at once, and discovery answers only so many calls a second.
 //!
-//! Assumptions, after the operators' pages: the queue of [`crate::discovery`], served in turn; a call that would wait longer
-//! than the service's own limit is refused, at once or when its wait is over; a call that its proxy has given up is
-//! served all the same, for nothing, as its place in the queue can't be taken back. Proxies are the core's own
-//! decisions; ways and the size of lists take no time.
+//! Assumptions, after the operators' pages: the queue of [`crate::discovery`], served in turn; a call that would wait
+//! longer than the service's own limit is refused, at once or when its wait is over; a call that its proxy has given up
+//! is served all the same, for nothing, as its place in the queue can't be taken back. Policies are the core's;
+//! network and size of the lists take no time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use leadrelay_core::{
-    Action, Balancer, DiscoveryMode, Event, Limits, ListScope, Prices, Settings, WeightMeaning,
+    Action, Balancer, DiscoveryMode, Event as ProxyEvent, Limits, ListScope, Millis, Prices, Settings,
+    WeightMeaning,
 };
 use serde::Serialize;
 
-use crate::backend::At;
-use crate::discovery::Queue;
+use crate::discovery::CallQueue;
+use crate::index::{IndexedVec, ProxyIndex};
 use crate::random::RandomStream;
+use crate::time::OrderedTime;
 
-/// The service and how proxies wait for it. Spans are in ms.
+/// A change counts as notified this time after discovery had it.
+const NOTIFIED_AFTER: Millis = 6000.0;
+/// The length of the busiest window.
+const SECOND: Millis = 1000.0;
+
+/// The service and how proxies wait for it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReconnectStorm {
     /// Proxies whose watches break at time 0.
@@ -25,128 +32,204 @@
     /// Calls a second that the service answers, for each proxy of the fleet.
     pub calls_per_s: f64,
     /// A call that would wait longer is refused.
-    pub limit_ms: f64,
+    pub max_wait: Millis,
     /// Refusals come when that wait is over, not at once.
     pub late_refusals: bool,
-    /// A proxy gives a call up after this span.
-    pub patience_ms: f64,
-    /// The storm is looked at for so long.
-    pub length_ms: f64,
+    /// A proxy gives a call up after this time.
+    pub call_timeout: Millis,
+    /// For how long the storm is observed.
+    pub duration: Millis,
 }
 
 /// What became of a storm.
 #[derive(Clone, Debug, Serialize)]
-pub struct Outcome {
-    /// Seed of the day.
+pub struct StormResult {
+    /// Seed of the run.
     pub seed: u64,
-    /// When half of the proxies, and the last one, had their list again, in ms; `None` if they never had.
-    pub half_ms: Option<f64>,
-    /// The last one.
-    pub last_ms: Option<f64>,
-    /// Proxies without a list after 6 s, when a change counts as told.
-    pub ignorant: usize,
-    /// Calls in all, those refused, and those given up that were served for nothing.
+    /// When half of the proxies had their list again; `None` if they never had.
+    pub half_ms: Option<Millis>,
+    /// When the last one had.
+    pub last_ms: Option<Millis>,
+    /// Proxies without a list after 6 s, when a change counts as notified.
+    #[serde(rename = "ignorant")]
+    pub without_list: usize,
+    /// Calls in all.
     pub calls: usize,
-    /// Refused by the service.
+    /// Those refused by the service.
     pub refused: usize,
-    /// Given up by their proxy.
+    /// Those given up by their proxy, which were served for nothing.
     pub given_up: usize,
     /// Calls of all proxies in their busiest second.
-    pub most_calls_per_s: usize,
+    #[serde(rename = "most_calls_per_s")]
+    pub max_calls_per_s: usize,
 }
 
-/// A change counts as told so long after discovery had it, in ms.
-const TOLD: f64 = 6000.0;
-
-enum Happens {
+/// What happens to a proxy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Event {
+    /// A timer has expired.
     Timer(u64),
-    Listed,
-    Failed,
+    /// It gets its list.
+    ListReceived,
+    /// Its watch or call fails.
+    CallFailed,
 }
 
-/// Plays a storm.
-pub fn play(storm: &ReconnectStorm, seed: u64) -> Outcome {
-    let mut seeds = RandomStream::new(seed, "reconnect");
-    let mut proxies: Vec<Balancer> =
-        (0..storm.proxies).map(|me| Balancer::new(settings(me, storm.proxies), seeds.seed())).collect();
-    let mut heap: BinaryHeap<Reverse<(At, u64, usize)>> = BinaryHeap::new();
-    let mut events: Vec<(usize, Happens)> = Vec::new();
-    let mut listed: Vec<Option<f64>> = vec![None; proxies.len()];
-    let mut calls: Vec<f64> = Vec::new();
-    let (mut refused, mut given_up) = (0, 0);
-    let mut queue = Queue::new(storm.calls_per_s * f64::from(storm.proxies), storm.limit_ms);
-    let put = |heap: &mut BinaryHeap<_>, events: &mut Vec<_>, at: f64, p: usize, what: Happens| {
-        heap.push(Reverse((At(at), events.len() as u64, events.len())));
-        events.push((p, what));
-    };
-    let mut actions = Vec::new();
-    for (p, proxy) in proxies.iter_mut().enumerate() {
-        // Each believes in a watch until it breaks.
-        proxy.handle(0.0, Event::List { scope: ListScope::Cached, entries: Vec::new() }, &mut actions);
-        proxy.handle(0.0, Event::Timer(0), &mut Vec::new());
-        put(&mut heap, &mut events, 0.0, p, Happens::Failed);
-        for action in actions.drain(..) {
-            if let Action::Timer { token, at } = action {
-                put(&mut heap, &mut events, at, p, Happens::Timer(token));
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledEvent {
+    at: OrderedTime,
+    /// Events of one time happen in the order in which they were scheduled.
+    sequence: usize,
+    proxy: ProxyIndex,
+    event: Event,
+}
+
+/// The state of a storm.
+struct StormSimulation<'a> {
+    storm: &'a ReconnectStorm,
+    proxies: IndexedVec<ProxyIndex, Balancer>,
+    scheduled: BinaryHeap<Reverse<ScheduledEvent>>,
+    next_sequence: usize,
+    queue: CallQueue,
+    /// When each proxy had its list again.
+    listed_at: IndexedVec<ProxyIndex, Option<Millis>>,
+    call_times: Vec<Millis>,
+    refused: usize,
+    given_up: usize,
+}
+
+/// Simulates a storm.
+pub fn simulate_storm(storm: &ReconnectStorm, seed: u64) -> StormResult {
+    let mut simulation = StormSimulation::new(storm, seed);
+    simulation.break_watches();
+    simulation.run();
+    simulation.result(seed)
+}
+
+impl<'a> StormSimulation<'a> {
+    fn new(storm: &'a ReconnectStorm, seed: u64) -> Self {
+        let mut seeds = RandomStream::new(seed, "reconnect");
+        let proxy = |index| Balancer::new(settings(index, storm.proxies), seeds.seed());
+        let calls_per_s = storm.calls_per_s * f64::from(storm.proxies);
+        StormSimulation {
+            storm,
+            proxies: (0..storm.proxies).map(proxy).collect(),
+            scheduled: BinaryHeap::new(),
+            next_sequence: 0,
+            queue: CallQueue::new(calls_per_s, storm.max_wait),
+            listed_at: vec![None; storm.proxies as usize].into(),
+            call_times: Vec::new(),
+            refused: 0,
+            given_up: 0,
+        }
+    }
+
+    fn schedule(&mut self, at: Millis, proxy: ProxyIndex, event: Event) {
+        let at = OrderedTime(at);
+        let sequence = self.next_sequence;
+        self.scheduled.push(Reverse(ScheduledEvent { at, sequence, proxy, event }));
+        self.next_sequence += 1;
+    }
+
+    /// Each proxy has a watch until it breaks at time 0.
+    fn break_watches(&mut self) {
+        let mut actions = Vec::new();
+        for proxy in self.proxies.indices() {
+            let balancer = &mut self.proxies[proxy];
+            balancer.handle(0.0, list(ListScope::Cached), &mut actions);
+            balancer.handle(0.0, ProxyEvent::Timer(0), &mut Vec::new());
+            self.schedule(0.0, proxy, Event::CallFailed);
+            for action in actions.drain(..) {
+                if let Action::Timer { token, at } = action {
+                    self.schedule(at, proxy, Event::Timer(token));
+                }
+            }
+        }
+    }
+
+    fn run(&mut self) {
+        let mut actions = Vec::new();
+        while let Some(Reverse(next)) = self.scheduled.pop() {
+            let OrderedTime(now) = next.at;
+            if now > self.storm.duration {
+                break;
+            }
+            let event = self.proxy_event(now, next.proxy, next.event);
+            self.proxies[next.proxy].handle(now, event, &mut actions);
+            for action in actions.drain(..) {
+                self.perform(now, next.proxy, &action);
             }
         }
     }
-    while let Some(Reverse((At(now), _, number))) = heap.pop() {
-        if now > storm.length_ms {
-            break;
+
+    fn proxy_event(&mut self, now: Millis, proxy: ProxyIndex, event: Event) -> ProxyEvent {
+        match event {
+            Event::Timer(token) => ProxyEvent::Timer(token),
+            Event::CallFailed => list(ListScope::Failed),
+            Event::ListReceived => {
+                let listed_at = &mut self.listed_at[proxy];
+                *listed_at = listed_at.or(Some(now));
+                list(ListScope::Full)
+            }
         }
-        let (p, what) = (events[number].0, std::mem::replace(&mut events[number].1, Happens::Listed));
-        let event = match what {
-            Happens::Timer(token) => Event::Timer(token),
-            Happens::Failed => Event::List { scope: ListScope::Failed, entries: Vec::new() },
-            Happens::Listed => {
-                listed[p] = listed[p].or(Some(now));
-                Event::List { scope: ListScope::Full, entries: Vec::new() }
+    }
+
+    fn perform(&mut self, now: Millis, proxy: ProxyIndex, action: &Action) {
+        match *action {
+            Action::Timer { token, at } => self.schedule(at, proxy, Event::Timer(token)),
+            Action::Subscribe { .. } => self.call(now, proxy),
+            _ => {}
+        }
+    }
+
+    /// A proxy calls discovery.
+    fn call(&mut self, now: Millis, proxy: ProxyIndex) {
+        self.call_times.push(now);
+        let call_timeout = self.storm.call_timeout;
+        match self.queue.join(now) {
+            None => {
+                self.refused += 1;
+                let wait = if self.storm.late_refusals { self.storm.max_wait } else { 0.0 };
+                self.schedule(now + wait.min(call_timeout), proxy, Event::CallFailed);
             }
-        };
-        proxies[p].handle(now, event, &mut actions);
-        for action in actions.drain(..) {
-            match action {
-                Action::Timer { token, at } => put(&mut heap, &mut events, at, p, Happens::Timer(token)),
-                Action::Subscribe { .. } => {
-                    calls.push(now);
-                    let Some(served_at) = queue.join(now) else {
-                        refused += 1;
-                        let wait = if storm.late_refusals { storm.limit_ms } else { 0.0 };
-                        let at = now + wait.min(storm.patience_ms);
-                        put(&mut heap, &mut events, at, p, Happens::Failed);
-                        continue;
-                    };
-                    if served_at - now > storm.patience_ms {
-                        given_up += 1;
-                        put(&mut heap, &mut events, now + storm.patience_ms, p, Happens::Failed);
-                    } else {
-                        put(&mut heap, &mut events, served_at, p, Happens::Listed);
-                    }
-                }
-                _ => {}
+            Some(served_at) if served_at - now > call_timeout => {
+                self.given_up += 1;
+                self.schedule(now + call_timeout, proxy, Event::CallFailed);
             }
+            Some(served_at) => self.schedule(served_at, proxy, Event::ListReceived),
         }
     }
-    let mut times: Vec<f64> = listed.iter().flatten().copied().collect();
-    times.sort_by(f64::total_cmp);
-    let nth = |n: usize| n.checked_sub(1).and_then(|n| times.get(n)).copied();
-    let mut busiest = 0;
-    for (i, at) in calls.iter().enumerate() {
-        busiest = busiest.max(calls[i..].iter().take_while(|c| **c < at + 1000.0).count());
+
+    fn result(&self, seed: u64) -> StormResult {
+        let mut times: Vec<Millis> = self.listed_at.iter().flatten().copied().collect();
+        times.sort_by(f64::total_cmp);
+        let nth = |number: usize| number.checked_sub(1).and_then(|position| times.get(position)).copied();
+        let is_late = |at: &&Option<Millis>| at.is_none_or(|at| at > NOTIFIED_AFTER);
+        StormResult {
+            seed,
+            half_ms: nth(self.proxies.len().div_ceil(2)),
+            last_ms: nth(self.proxies.len()),
+            without_list: self.listed_at.iter().filter(is_late).count(),
+            calls: self.call_times.len(),
+            refused: self.refused,
+            given_up: self.given_up,
+            max_calls_per_s: self.max_calls_per_s(),
+        }
     }
-    Outcome {
-        seed,
-        half_ms: nth(proxies.len().div_ceil(2)),
-        last_ms: nth(proxies.len()),
-        ignorant: listed.iter().filter(|at| at.is_none_or(|at| at > TOLD)).count(),
-        calls: calls.len(),
-        refused,
-        given_up,
-        most_calls_per_s: busiest,
+
+    fn max_calls_per_s(&self) -> usize {
+        let within_a_second = |(first, start): (usize, &Millis)| {
+            self.call_times[first..].iter().take_while(|at| **at < start + SECOND).count()
+        };
+        self.call_times.iter().enumerate().map(within_a_second).max().unwrap_or(0)
     }
 }
 
+fn list(scope: ListScope) -> ProxyEvent {
+    ProxyEvent::List { scope, entries: Vec::new() }
+}
+
+/// Settings of a proxy that only keeps a watch.
 fn settings(proxy_index: u32, proxies: u32) -> Settings {
     Settings {
         proxy_index,
--- a/crates/simulator/src/settings.rs
+++ b/crates/simulator/src/settings.rs
@@ -1,58 +1,79 @@
-//! What a day's proxies are told at their start.
+//! The settings of a run's proxies, as the operators would give them.
 
 use leadrelay_core::{
-    DeduplicationScope, DiscoveryMode, Idempotency, Limits, NotificationBounds, Prices, RequestClass,
+    DeduplicationScope, DiscoveryMode, Idempotency, Limits, Millis, NotificationBounds, Prices, RequestClass,
     Settings, Tenant, WeightMeaning, ZoneId,
 };
 
+use crate::index::ProxyIndex;
 use crate::scenario::{ClassSpec, RequestIdempotency};
 use crate::workload::Workload;
 
 /// Attempts that a request may have.
 pub const MAX_ATTEMPTS: usize = 5;
-/// A keyed request may be repeated for this span after its first attempt, in ms.
-pub const KEYED_WINDOW: f64 = 10_000.0;
+/// A request with an idempotency key may be repeated for this time after its first attempt.
+pub const DEDUPLICATION_WINDOW: Millis = 10_000.0;
+/// Sends may go on for this time after a drain counts as notified.
+const DRAIN_GRACE: Millis = 2000.0;
+/// Without a watch a change counts as notified after this time.
+const NOTIFIED_WITHOUT_WATCH: Millis = 10_000.0;
+/// Requests that a proxy may have open.
+const MAX_OPEN_REQUESTS: usize = 320;
 
-/// What a proxy is told, as the operators' settings tell it.
-pub fn settings(day: &Workload, p: usize) -> Settings {
-    let s = &day.scenario;
-    let class = |c: &ClassSpec| RequestClass {
-        latency_objective: c.aim_ms,
-        deadline: c.deadline_ms,
-        objective_stretch: 0.0,
-        priority_weight: c.worth,
-        late_fraction: 0.0,
-        idempotency: match c.effect {
-            RequestIdempotency::Safe => Idempotency::Always,
-            RequestIdempotency::Unsafe => Idempotency::Never,
-            RequestIdempotency::Keyed => {
-                Idempotency::WithKey { scope: DeduplicationScope::Cell, window: KEYED_WINDOW }
-            }
-        },
-    };
+/// The settings of a proxy.
+pub fn settings(workload: &Workload, proxy: ProxyIndex) -> Settings {
+    let scenario = &workload.scenario;
+    let discovery = if scenario.discovery.pushed { DiscoveryMode::Pushed } else { DiscoveryMode::OnRequest };
+    let tenant = |quota: &f64| Tenant { quota_per_second: *quota };
     Settings {
-        proxy_index: p as u32,
-        proxies: day.proxies.len() as u32,
-        zone: Some(ZoneId(day.proxies[p].0 as u32)),
-        classes: s.classes.iter().map(class).collect(),
-        tenants: day.allowances.iter().map(|a| Tenant { quota_per_second: *a }).collect(),
-        over_quota_fraction: s.over_share_worth,
+        proxy_index: proxy.0 as u32,
+        proxies: workload.proxies.len() as u32,
+        zone: Some(ZoneId(workload.proxies[proxy].zone.0 as u32)),
+        classes: scenario.classes.iter().map(request_class).collect(),
+        tenants: workload.tenant_quotas.iter().map(tenant).collect(),
+        over_quota_fraction: scenario.over_quota_weight,
         weight_per_work: false,
-        discovery: if s.discovery.pushed { DiscoveryMode::Pushed } else { DiscoveryMode::OnRequest },
+        discovery,
         notification_bounds: Some(NotificationBounds::default()),
         weight_meaning: WeightMeaning::Capacity,
         key_affinity: true,
-        gossip_enabled: s.network.peer_loss < 1.0,
-        prices: Prices { cross_zone: s.prices.cross_zone },
-        limits: Limits {
-            drain_grace: 2000.0,
-            notified_without_watch: 10_000.0,
-            initial_capacity: s.cold.start,
-            slow_start_window: s.cold.span_s * 1000.0,
-            overload_multiple: s.cold.multiple,
-            overload_window: s.cold.fall_s * 1000.0,
-            max_open_requests: 320,
-            max_attempts: MAX_ATTEMPTS as u32,
-        },
+        gossip_enabled: scenario.network.gossip_loss < 1.0,
+        prices: Prices { cross_zone: scenario.prices.cross_zone },
+        limits: limits(workload),
+    }
+}
+
+fn request_class(class: &ClassSpec) -> RequestClass {
+    RequestClass {
+        latency_objective: class.latency_objective_ms,
+        deadline: class.deadline_ms,
+        objective_stretch: 0.0,
+        priority_weight: class.priority_weight,
+        late_fraction: 0.0,
+        idempotency: idempotency(class.idempotency),
+    }
+}
+
+fn idempotency(idempotency: RequestIdempotency) -> Idempotency {
+    match idempotency {
+        RequestIdempotency::Idempotent => Idempotency::Always,
+        RequestIdempotency::NotIdempotent => Idempotency::Never,
+        RequestIdempotency::WithKey => {
+            Idempotency::WithKey { scope: DeduplicationScope::Cell, window: DEDUPLICATION_WINDOW }
+        }
+    }
+}
+
+fn limits(workload: &Workload) -> Limits {
+    let slow_start = &workload.scenario.slow_start;
+    Limits {
+        drain_grace: DRAIN_GRACE,
+        notified_without_watch: NOTIFIED_WITHOUT_WATCH,
+        initial_capacity: slow_start.initial_capacity,
+        slow_start_window: slow_start.duration_s * 1000.0,
+        overload_multiple: slow_start.overload_multiple,
+        overload_window: slow_start.overload_window_s * 1000.0,
+        max_open_requests: MAX_OPEN_REQUESTS,
+        max_attempts: MAX_ATTEMPTS as u32,
     }
 }
--- a/crates/simulator/src/simulation/endpoint_lists.rs
+++ b/crates/simulator/src/simulation/endpoint_lists.rs
@@ -1,144 +1,164 @@
-//! How lists reach the proxies of a day: between the model of discovery, the rule on drains and who decides.
+//! How endpoint lists reach the proxies: between the model of discovery, the rule on drains and the policies.
 
 use leadrelay_core::{
-    CallEnd, CallId, DiscoveryEvent, Endpoint, EndpointState, Event as ProxyEvent, ListScope,
+    CallId, CellId, DiscoveryEvent, Endpoint, EndpointId, EndpointState, Event as ProxyEvent, ListScope,
+    MachineClassId, Millis, ZoneId,
 };
 
-use super::{Event, Simulation, line};
-use crate::discovery::{Caller, Character, ConnectionId, Effect, Step};
+use super::Simulation;
+use super::event::Event;
+use crate::backend::Backend;
+use crate::discovery::{Caller, DiscoveryParameters, DiscoveryService, Effect, Step};
+use crate::drain_rule::WrittenList;
+use crate::index::{BackendIndex, ConnectionIndex, ProxyIndex};
 use crate::workload::Workload;
 
 impl Simulation<'_> {
-    /// A proxy that has just started gets its list as last seen.
-    pub(super) fn greet(&mut self, p: usize) {
-        self.drains.started(self.now, p);
-        let entries = self.proxies[p].list.clone();
-        self.proxies[p].starts.clear();
-        self.note_starts(p, &entries);
-        self.tell(p, ProxyEvent::List { scope: ListScope::Cached, entries });
+    /// A proxy that has just started gets its cached list.
+    pub(super) fn deliver_cached_list(&mut self, proxy: ProxyIndex) {
+        self.drain_rule.proxy_started(self.now(), proxy);
+        let entries = self.proxies[proxy].cached_list.clone();
+        self.proxies[proxy].known_starts.clear();
+        self.record_known_starts(proxy, &entries);
+        self.deliver(proxy, ProxyEvent::List { scope: ListScope::Cached, entries });
     }
 
-    /// Notes of which starts a proxy has been told.
-    fn note_starts(&mut self, p: usize, lines: &[Endpoint]) {
-        let starts = lines.iter().filter_map(|l| Some((l.id.0 as usize, l.started_at?)));
-        self.proxies[p].starts.extend(starts);
+    /// Records of which starts of backends a proxy has been notified.
+    fn record_known_starts(&mut self, proxy: ProxyIndex, entries: &[Endpoint]) {
+        let starts =
+            entries.iter().filter_map(|entry| Some((BackendIndex(entry.id.0 as usize), entry.started_at?)));
+        self.proxies[proxy].known_starts.extend(starts);
     }
 
-    /// The service learns of a change, late.
-    pub(super) fn tell_discovery(&mut self, b: usize, state: EndpointState) {
-        let line = line(b, &self.backends[b], state);
-        self.after(self.day.discovery.0, Event::Notice(line));
+    /// A backend's state changes; discovery gets the change after a delay.
+    pub(super) fn announce(&mut self, backend: BackendIndex, state: EndpointState) {
+        let entry = endpoint(backend, &self.backends[backend], state);
+        let delay = self.workload.discovery.propagation_delay;
+        self.events.schedule_after(delay, Event::DiscoveryUpdate(entry));
     }
 
-    /// Lets something happen at the service.
-    pub(super) fn at_discovery(
-        &mut self, deed: impl FnOnce(&mut crate::discovery::Service, f64, &mut Vec<Effect>),
+    /// Lets discovery do something and carries out what follows.
+    pub(super) fn with_discovery(
+        &mut self, operation: impl FnOnce(&mut DiscoveryService, Millis, &mut Vec<Effect>),
     ) {
         let mut effects = Vec::new();
-        deed(&mut self.discovery, self.now, &mut effects);
+        let now = self.now();
+        operation(&mut self.discovery, now, &mut effects);
         for effect in effects {
-            self.follow(effect);
+            self.apply(effect);
         }
     }
 
-    fn follow(&mut self, effect: Effect) {
+    fn apply(&mut self, effect: Effect) {
+        let now = self.now();
         match effect {
-            Effect::Later { at, step } => self.at(at, Event::Discovery(step)),
-            Effect::Read { at, connection, event } => self.at(at, Event::Read { connection, event }),
-            Effect::Learned(line) => self.drains.learned(self.now, &line),
-            Effect::Wrote { proxy, former, whole, lines } => {
-                self.drains.written(self.now, proxy, former, whole, &lines);
+            Effect::Schedule { at, step } => self.events.schedule_at(at, Event::DiscoveryStep(step)),
+            Effect::Read { at, connection, event } => {
+                self.events.schedule_at(at, Event::DiscoveryRead { connection, event });
             }
-            Effect::WatchEnded { proxy } => self.drains.watch_closed(self.now, proxy),
+            Effect::Updated(entry) => self.drain_rule.discovery_updated(now, &entry),
+            Effect::Written { proxy, former_address, complete, entries } => {
+                let list = WrittenList { former_address, complete, entries: &entries };
+                self.drain_rule.list_written(now, proxy, list);
+            }
+            Effect::WatchEnded { proxy } => self.drain_rule.watch_closed(now, proxy),
         }
     }
 
-    pub(super) fn step_discovery(&mut self, step: Step) {
-        self.at_discovery(|service, now, out| service.step(now, step, out));
+    pub(super) fn discovery_step(&mut self, step: Step) {
+        self.with_discovery(|service, now, effects| service.step(now, step, effects));
+    }
+
+    pub(super) fn discovery_update(&mut self, entry: Endpoint) {
+        self.with_discovery(|service, _, effects| service.update(entry, effects));
     }
 
-    pub(super) fn subscribe(&mut self, p: usize, call: CallId, after: Option<u64>) {
-        let caller = Caller { proxy: p, life: self.proxies[p].life };
-        self.at_discovery(|service, now, out| service.call(now, caller, call, after, out));
+    pub(super) fn subscribe(&mut self, proxy: ProxyIndex, call: CallId, after: Option<u64>) {
+        let caller = self.caller(proxy);
+        self.with_discovery(|service, now, effects| service.call(now, caller, call, after, effects));
     }
 
-    pub(super) fn unsubscribe(&mut self, p: usize, call: CallId) {
-        let caller = Caller { proxy: p, life: self.proxies[p].life };
+    pub(super) fn unsubscribe(&mut self, proxy: ProxyIndex, call: CallId) {
+        let caller = self.caller(proxy);
         if self.discovery.give_up(caller, call) {
-            self.drains.watch_closed(self.now, p);
+            self.drain_rule.watch_closed(self.now(), proxy);
         }
     }
 
-    /// A proxy reads what has come on a connection.
-    pub(super) fn read(&mut self, connection: ConnectionId, event: DiscoveryEvent) {
-        let Some(Caller { proxy, life }) = self.discovery.reader(connection) else { return };
-        if !self.lives(proxy, life) {
+    fn caller(&self, proxy: ProxyIndex) -> Caller {
+        Caller { proxy, incarnation: self.proxies[proxy].incarnation }
+    }
+
+    /// A proxy reads from a connection to discovery.
+    pub(super) fn discovery_read(&mut self, connection: ConnectionIndex, event: DiscoveryEvent) {
+        let Some(Caller { proxy, incarnation }) = self.discovery.reader(connection) else { return };
+        if !self.is_running(proxy, incarnation) {
             return;
         }
-        if let DiscoveryEvent::Update { complete: whole, entries, .. } = &event {
-            self.remember(proxy, *whole, entries);
-            self.note_starts(proxy, entries);
+        if let DiscoveryEvent::Update { complete, entries, .. } = &event {
+            self.update_cached_list(proxy, *complete, entries);
+            self.record_known_starts(proxy, entries);
         }
-        let event = match self.proxies[proxy].brain.follows_calls() {
-            true => Some(ProxyEvent::Discovery(event)),
-            false => as_list(event),
-        };
-        if let Some(event) = event {
-            self.tell(proxy, event);
+        if self.proxies[proxy].policy.observes_calls() {
+            self.deliver(proxy, ProxyEvent::Discovery(event));
+        } else if let Some(event) = as_list(event) {
+            self.deliver(proxy, event);
         }
     }
 
-    /// Keeps the list as last seen, for the next process.
-    fn remember(&mut self, p: usize, whole: bool, lines: &[Endpoint]) {
-        let list = &mut self.proxies[p].list;
-        if whole {
-            return *list = lines.to_vec();
+    /// Keeps the list as last received, for the next process.
+    fn update_cached_list(&mut self, proxy: ProxyIndex, complete: bool, entries: &[Endpoint]) {
+        let list = &mut self.proxies[proxy].cached_list;
+        if complete {
+            *list = entries.to_vec();
+            return;
         }
-        for line in lines {
-            list.retain(|l| l.id != line.id);
-            if line.state != EndpointState::Removed {
-                list.push(line.clone());
+        for entry in entries {
+            list.retain(|cached| cached.id != entry.id);
+            if entry.state != EndpointState::Removed {
+                list.push(entry.clone());
             }
         }
     }
 
-    /// Discovery has another address, and each proxy is told so.
+    /// Discovery moves to another address, and each proxy is notified of that.
     pub(super) fn move_discovery(&mut self) {
-        self.at_discovery(|service, now, out| service.move_away(now, out));
-        for p in 0..self.proxies.len() {
-            if !self.proxies[p].alive {
+        self.with_discovery(|service, now, effects| service.move_address(now, effects));
+        for proxy in self.proxies.indices() {
+            if !self.proxies[proxy].up {
                 continue;
             }
-            self.drains.moved(self.now, p);
-            if self.proxies[p].brain.follows_calls() {
-                self.tell(p, ProxyEvent::Discovery(DiscoveryEvent::Moved));
+            self.drain_rule.discovery_moved(self.now(), proxy);
+            if self.proxies[proxy].policy.observes_calls() {
+                self.deliver(proxy, ProxyEvent::Discovery(DiscoveryEvent::Moved));
             }
         }
     }
 
-    /// The watches of a part of the proxies fall silent, or are reset.
-    pub(super) fn strike_watches(&mut self, fault: usize, silent: bool) {
-        let mut struck = vec![false; self.proxies.len()];
-        self.struck(fault, self.proxies.len()).into_iter().for_each(|p| struck[p] = true);
-        if !silent {
-            return self.at_discovery(|service, now, out| service.break_watches(now, |p| struck[p], out));
-        }
-        for p in self.discovery.silence_watches(|p| struck[p]) {
-            self.drains.fell_silent(self.now, p);
+    /// The watches of these proxies are reset.
+    pub(super) fn reset_watches(&mut self, proxies: &[ProxyIndex]) {
+        let is_affected = |proxy: ProxyIndex| proxies.contains(&proxy);
+        self.with_discovery(|service, now, effects| service.reset_watches(now, is_affected, effects));
+    }
+
+    /// The watches of these proxies stall.
+    pub(super) fn stall_watches(&mut self, proxies: &[ProxyIndex]) {
+        for proxy in self.discovery.stall_watches(|proxy| proxies.contains(&proxy)) {
+            self.drain_rule.watch_stalled(self.now(), proxy);
         }
     }
 }
 
-/// What those are told that know of lists alone.
+/// What a policy gets that does not observe its calls.
 fn as_list(event: DiscoveryEvent) -> Option<ProxyEvent> {
     match event {
-        DiscoveryEvent::Update { complete: whole, entries, .. } => {
-            let scope = if whole { ListScope::Full } else { ListScope::Delta };
+        DiscoveryEvent::Update { complete, entries, .. } => {
+            let scope = if complete { ListScope::Full } else { ListScope::Delta };
             Some(ProxyEvent::List { scope, entries })
         }
-        DiscoveryEvent::Ended {
-            end: CallEnd::Unreachable | CallEnd::Malformed | CallEnd::Closed, ..
-        } => Some(ProxyEvent::List { scope: ListScope::Failed, entries: Vec::new() }),
+        DiscoveryEvent::Ended { .. } => {
+            Some(ProxyEvent::List { scope: ListScope::Failed, entries: Vec::new() })
+        }
         DiscoveryEvent::Moved
         | DiscoveryEvent::TakeoverStarted
         | DiscoveryEvent::Connected(_)
@@ -146,16 +166,30 @@
     }
 }
 
-/// What a day's discovery is like.
-pub(super) fn character(day: &Workload) -> Character {
-    let of = &day.scenario.discovery;
-    Character {
-        calls_per_s: day.discovery.1,
-        limit: of.timeout_ms,
-        push_interval: of.push_ms,
-        pushed: of.pushed,
-        outage: of.outage,
-        whole_part: of.whole_part,
-        hides_draining: of.hides_draining,
+/// A backend's entry of the endpoint list.
+pub(super) fn endpoint(index: BackendIndex, backend: &Backend, state: EndpointState) -> Endpoint {
+    let machine = &backend.machine;
+    Endpoint {
+        id: EndpointId(index.0 as u64),
+        zone: Some(ZoneId(machine.zone.0 as u32)),
+        machine_class: Some(MachineClassId(machine.machine_class.0 as u32)),
+        cell: Some(CellId(machine.cell.0)),
+        state,
+        weight: machine.weight,
+        started_at: backend.started_at.is_finite().then_some(backend.started_at),
+    }
+}
+
+/// The parameters of a workload's discovery.
+pub(super) fn discovery_parameters(workload: &Workload) -> DiscoveryParameters {
+    let spec = &workload.scenario.discovery;
+    DiscoveryParameters {
+        calls_per_s: workload.discovery.calls_per_s,
+        max_wait: spec.timeout_ms,
+        push_interval: spec.push_interval_ms,
+        pushed: spec.pushed,
+        outage: spec.outage,
+        full_list_fraction: spec.full_list_fraction,
+        omits_draining: spec.omits_draining,
     }
 }
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -1,123 +1,182 @@
-//! How near the proxies come, all together, to pushing a cold backend over.
+//! How close the proxies come, all together, to overloading a backend in slow start.
 //!
-//! The operators' term: a cold backend falls when it gets more than N + 2√N + 2 requests of mean work in the span that the
-//! settings name, N being what the settings allow it then: the multiple, times its present capacity, times that span.
-//! Fault lies with the proxies if over two thirds of these came from such as had been told of the start.
+//! The operators' rule: a backend in slow start crashes when it gets more than N + 2√N + 2 requests of mean work within
+//! the window that the settings name, N being what the settings allow: the multiple, times its present capacity, times
+//! that window. The proxies are at fault if over two thirds of these came from ones that had been notified of the
+//! start.
 
 use std::collections::VecDeque;
 
+use leadrelay_core::Millis;
 use serde::Serialize;
 
 use crate::backend::Backend;
+use crate::index::{BackendIndex, ClassIndex, IndexedVec};
 use crate::workload::Workload;
 
-/// The part of a fall's requests beyond which those told of the start are to blame.
-const BLAMED: f64 = 2.0 / 3.0;
+/// The fraction of an overload beyond which the notified proxies are at fault.
+const FAULT_FRACTION: f64 = 2.0 / 3.0;
 
 /// What one count came to over all windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Worst {
+pub struct MaxRatio {
     /// The most requests in a window over what was allowed in it.
     pub ratio: f64,
-    /// Windows with more than that.
+    /// Windows with more than allowed.
     pub over: usize,
 }
 
-impl Worst {
-    fn note(&mut self, ratio: f64) -> bool {
+impl MaxRatio {
+    /// Adds a window; returns whether it has more than allowed.
+    fn record(&mut self, ratio: f64) -> bool {
+        let is_over = ratio > 1.0;
         self.ratio = self.ratio.max(ratio);
-        self.over += usize::from(ratio > 1.0);
-        ratio > 1.0
+        self.over += usize::from(is_over);
+        is_over
     }
 }
 
-/// One count against what surely can be done by the settings, and against what truly can.
+/// One count against the capacity by the settings and against the true one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Counted {
-    /// By the least capacity that the settings tell.
-    pub settings: Worst,
+pub struct LoadRatios {
+    /// By the least capacity that the settings promise.
+    #[serde(rename = "settings")]
+    pub by_settings: MaxRatio,
     /// By the true capacity.
-    pub truth: Worst,
+    #[serde(rename = "truth")]
+    pub by_true_capacity: MaxRatio,
 }
 
-/// A day's measure. A window ends at each request that reaches a cold backend.
+/// The measure of a run. A window ends at each request that reaches a backend in slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct SlowStartReport {
-    /// Cold backends that got a request.
+    /// Starts of backends that got a request during slow start.
     pub starts: usize,
     /// Windows.
     pub windows: usize,
     /// Requests from all proxies.
-    pub all: Counted,
-    /// Those from proxies that had been told of the start.
-    pub told: Counted,
-    /// Cold backends pushed over by the settings' capacity for which those told were to blame.
-    pub blamed: usize,
+    #[serde(rename = "all")]
+    pub from_all: LoadRatios,
+    /// Those from proxies that had been notified of the start.
+    #[serde(rename = "told")]
+    pub from_notified: LoadRatios,
+    /// Backends overloaded by the capacity of the settings for which the notified proxies were at fault.
+    #[serde(rename = "blamed")]
+    pub proxies_at_fault: usize,
 }
 
-/// What reached one backend of late.
+/// A request that reached a backend in slow start.
+struct Sent {
+    at: Millis,
+    /// In requests of mean work.
+    requests: f64,
+    by_notified: bool,
+}
+
+/// What reached one backend within the last window.
 #[derive(Default)]
-struct Recent {
-    born: f64,
-    blamed: bool,
-    sent: VecDeque<(f64, f64, bool)>, // when, in requests of mean work, by a proxy that was told
+struct RecentRequests {
+    started_at: Millis,
+    proxies_at_fault: bool,
+    sent: VecDeque<Sent>,
+}
+
+impl RecentRequests {
+    fn record(&mut self, sent: Sent, window: Millis) {
+        let now = sent.at;
+        self.sent.push_back(sent);
+        while self.sent.front().is_some_and(|sent| sent.at <= now - window) {
+            self.sent.pop_front();
+        }
+    }
+
+    fn total(&self) -> f64 {
+        self.sent.iter().map(|sent| sent.requests).sum()
+    }
+
+    fn total_from_notified(&self) -> f64 {
+        self.sent.iter().filter(|sent| sent.by_notified).map(|sent| sent.requests).sum()
+    }
 }
 
-/// Watches all backends of a day.
+/// Observes all backends of a run.
 #[derive(Default)]
-pub struct Watch {
-    backends: Vec<Recent>,
-    measure: SlowStartReport,
+pub struct SlowStartMonitor {
+    backends: IndexedVec<BackendIndex, RecentRequests>,
+    report: SlowStartReport,
 }
 
-impl Watch {
-    /// A request of a class reaches a backend that is up.
-    pub fn note(
-        &mut self, now: f64, day: &Workload, number: usize, backend: &Backend, class: usize, told: bool,
-    ) {
-        let cold = &day.scenario.cold;
-        let (age, span) = (now - backend.born, cold.span_s * 1000.0);
-        if age >= span {
+/// A request that reaches a backend.
+#[derive(Clone, Copy, Debug)]
+pub struct ReceivedRequest {
+    /// When.
+    pub at: Millis,
+    /// Which backend.
+    pub backend: BackendIndex,
+    /// Its class.
+    pub class: ClassIndex,
+    /// Whether its proxy had been notified of the backend's start.
+    pub by_notified: bool,
+}
+
+impl SlowStartMonitor {
+    /// A request reaches a backend that is up.
+    pub fn record(&mut self, workload: &Workload, backend: &Backend, request: ReceivedRequest) {
+        let rule = &workload.scenario.slow_start;
+        let age = request.at - backend.started_at;
+        let duration = rule.duration_s * 1000.0;
+        if age >= duration {
             return;
         }
-        if self.backends.len() <= number {
-            self.backends.resize_with(number + 1, Recent::default);
-        }
-        let recent = &mut self.backends[number];
-        if recent.sent.is_empty() || recent.born != backend.born {
-            *recent = Recent { born: backend.born, ..Recent::default() };
-            self.measure.starts += 1;
-        }
-        let mean = day.mean_work();
-        recent.sent.push_back((now, day.works[class] / mean, told));
-        let fall = cold.fall_s * 1000.0;
-        while recent.sent.front().is_some_and(|s| s.0 <= now - fall) {
-            recent.sent.pop_front();
-        }
-        let count = |told: bool| recent.sent.iter().filter(|s| s.2 || !told).map(|s| s.1).sum::<f64>();
-        let (all, told) = (count(false), count(true));
+        let mean_work = workload.mean_work();
+        let window = rule.overload_window_s * 1000.0;
+        let requests = workload.mean_work_by_class[request.class] / mean_work;
+        let sent = Sent { at: request.at, requests, by_notified: request.by_notified };
+        let recent = Self::recent(&mut self.backends, &mut self.report, request.backend, backend);
+        recent.record(sent, window);
+        let all = recent.total();
+        let notified = recent.total_from_notified();
+
         let allowed = |capacity: f64| {
-            let n = cold.multiple * capacity * fall / mean;
-            n + 2.0 * n.sqrt() + 2.0
+            let mean = rule.overload_multiple * capacity * window / mean_work;
+            mean + 2.0 * mean.sqrt() + 2.0
         };
         let machine = &backend.machine;
-        let sure = cold.start + (1.0 - cold.start) * age / span;
-        let settings = allowed(machine.cores * machine.speed * sure);
-        let m = &mut self.measure;
-        m.windows += 1;
-        m.told.settings.note(told / settings);
-        if m.all.settings.note(all / settings) && told > BLAMED * all && !recent.blamed {
-            (recent.blamed, m.blamed) = (true, m.blamed + 1);
+        let promised_factor = rule.initial_capacity + (1.0 - rule.initial_capacity) * age / duration;
+        let allowed_by_settings = allowed(machine.cores * machine.speed * promised_factor);
+        let report = &mut self.report;
+        report.windows += 1;
+        report.from_notified.by_settings.record(notified / allowed_by_settings);
+        let is_overloaded = report.from_all.by_settings.record(all / allowed_by_settings);
+        if is_overloaded && notified > FAULT_FRACTION * all && !recent.proxies_at_fault {
+            recent.proxies_at_fault = true;
+            report.proxies_at_fault += 1;
+        }
+        if backend.is_warming_up(request.at) {
+            let allowed_truly = allowed(backend.capacity(request.at));
+            report.from_all.by_true_capacity.record(all / allowed_truly);
+            report.from_notified.by_true_capacity.record(notified / allowed_truly);
+        }
+    }
+
+    /// The recent requests of a backend since its last start.
+    fn recent<'a>(
+        backends: &'a mut IndexedVec<BackendIndex, RecentRequests>, report: &mut SlowStartReport,
+        index: BackendIndex, backend: &Backend,
+    ) -> &'a mut RecentRequests {
+        while backends.len() <= index.0 {
+            backends.push(RecentRequests::default());
         }
-        if backend.is_cold(now) {
-            let truth = allowed(backend.capacity(now));
-            m.all.truth.note(all / truth);
-            m.told.truth.note(told / truth);
+        let recent = &mut backends[index];
+        if recent.sent.is_empty() || recent.started_at != backend.started_at {
+            *recent = RecentRequests { started_at: backend.started_at, ..RecentRequests::default() };
+            report.starts += 1;
         }
+        recent
     }
 
-    /// What was seen so far.
-    pub fn measure(&self) -> SlowStartReport {
-        self.measure
+    /// What was observed so far.
+    pub fn report(&self) -> SlowStartReport {
+        self.report
     }
 }
--- /dev/null
+++ b/crates/simulator/src/time.rs
@@ -0,0 +1,23 @@
+//! Points in time that can be ordered in a heap.
+
+use std::cmp::Ordering;
+
+use leadrelay_core::Millis;
+
+/// A point in time with a total order.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct OrderedTime(pub Millis);
+
+impl Eq for OrderedTime {}
+
+impl Ord for OrderedTime {
+    fn cmp(&self, other: &Self) -> Ordering {
+        self.0.total_cmp(&other.0)
+    }
+}
+
+impl PartialOrd for OrderedTime {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
--- a/crates/simulator/tests/command_line.rs
+++ b/crates/simulator/tests/command_line.rs
@@ -1,11 +1,12 @@
-//! The lab's command line: what it prints and how it exits.
+//! The command line: what it prints and how it exits.
+
 use std::path::Path;
 use std::process::{Command, Output};
 
-fn simulator(args: &[&str]) -> Output {
+fn simulator(arguments: &[&str]) -> Output {
     let scenarios = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios");
     let mut command = Command::new(env!("CARGO_BIN_EXE_leadrelay-simulator"));
-    command.current_dir(scenarios).args(args).output().expect("it starts")
+    command.current_dir(scenarios).args(arguments).output().expect("it starts")
 }
 
 fn text(bytes: &[u8]) -> String {
@@ -13,31 +14,34 @@
 }
 
 #[test]
-fn the_same_seed_prints_the_same_bytes() {
+fn same_seed_prints_same_bytes() {
     let run = |seed| {
         simulator(&["run", "headend.toml", "--seed", seed, "--seconds", "8", "--seeds", "3", "--json"])
     };
-    let (one, two) = (run("1"), run("1"));
+    let one = run("1");
+    let two = run("1");
     assert_eq!(one.status.code(), Some(0), "{}", text(&one.stderr));
     assert_eq!(one.stdout, two.stdout);
-    assert_eq!(text(&one.stdout).lines().count(), 3, "a line a day");
+    assert_eq!(text(&one.stdout).lines().count(), 3, "a line a run");
     assert_ne!(one.stdout, run("2").stdout);
 }
 
 #[test]
-fn a_person_reads_where_the_worth_went() {
-    let told = text(&simulator(&["run", "headend.toml", "--seconds", "8"]).stdout);
-    for word in ["headend seed 1 by core: G 0.", "where the worth went", "Served", "prices: cross_zone"] {
-        assert!(told.contains(word), "{word} in {told}");
+fn run_prints_score_prices_and_outcomes() {
+    let printed = text(&simulator(&["run", "headend.toml", "--seconds", "8"]).stdout);
+    for expected in
+        ["headend seed 1 by core: G 0.", "where the worth went", "| served ", "prices: cross_zone"]
+    {
+        assert!(printed.contains(expected), "{expected} in {printed}");
     }
 }
 
 #[test]
-fn compare_tells_apart_what_differs_and_not_what_is_equal() {
+fn compare_shows_difference_only_between_different_versions() {
     let compare = |a: &str, b: &str| {
         let run = simulator(&["compare", a, b, "headend.toml", "--seconds", "15", "--seeds", "8", "--json"]);
-        let told: serde_json::Value = serde_json::from_slice(&run.stdout).expect("JSON");
-        told["served"].clone()
+        let differences: serde_json::Value = serde_json::from_slice(&run.stdout).expect("JSON");
+        differences["served"].clone()
     };
     let equal = compare("core", "core");
     assert_eq!((&equal["median"], &equal["wins"]), (&0.0.into(), &serde_json::json!([0, 0, 8])));
@@ -46,7 +50,7 @@
 }
 
 #[test]
-fn cold_backends_stay_within_what_they_bear_whatever_is_lost_and_restarted() {
+fn core_does_not_overload_backends_in_slow_start() {
     let run = simulator(&[
         "cold",
         "cold.toml",
@@ -60,7 +64,7 @@
     ]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
     let cells: Vec<serde_json::Value> =
-        text(&run.stdout).lines().map(|l| serde_json::from_str(l).expect("JSON")).collect();
+        text(&run.stdout).lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
     assert_eq!(cells.len(), 8);
     for cell in cells {
         assert!(cell["starts"].as_u64() > Some(20) && cell["windows"].as_u64() > Some(200), "{cell}");
@@ -70,7 +74,7 @@
 }
 
 #[test]
-fn who_knows_no_cold_backend_is_seen_to_push_it_over() {
+fn random_choice_is_reported_to_overload_backends_in_slow_start() {
     let run = simulator(&[
         "cold",
         "cold.toml",
@@ -87,8 +91,8 @@
 }
 
 #[test]
-fn what_can_not_be_used_is_one_line_and_exit_code_2() {
-    for (args, word) in [
+fn wrong_usage_exits_with_2_and_names_the_error() {
+    for (arguments, expected) in [
         (&["run", "nowhere.toml"][..], "nowhere.toml: "),
         (&["compare", "core", "no/such/adapter", "headend.toml"], "nor the path of an adapter"),
         (&["run", "headend.toml", "--seeds", "0"], "--seeds"),
@@ -101,9 +105,9 @@
         (&["cold", "cold.toml", "--by", "no/such/adapter"], "nor the path of an adapter"),
         (&["play"], "play"),
     ] {
-        let run = simulator(args);
-        assert_eq!(run.status.code(), Some(2), "{args:?}: {}", text(&run.stderr));
-        assert!(text(&run.stderr).contains(word), "{args:?}: {}", text(&run.stderr));
+        let run = simulator(arguments);
+        assert_eq!(run.status.code(), Some(2), "{arguments:?}: {}", text(&run.stderr));
+        assert!(text(&run.stderr).contains(expected), "{arguments:?}: {}", text(&run.stderr));
     }
     let run = simulator(&["compare", "headend.toml", "core", "headend.toml", "--seconds", "2"]);
     assert_eq!(run.status.code(), Some(2), "a file that is no program: {}", text(&run.stderr));
