--- a/crates/proxy/src/body_stream/tests.rs
+++ b/crates/proxy/src/body_stream/tests.rs
@@ -1,39 +1,45 @@
-//! The end of a streamed body, and the bound on memory.
+//! The end of a streamed body.
 
-use super::*;
 use std::cell::Cell;
 use std::rc::Rc;
 
-async fn collected(length: Option<u64>, parts: Vec<BodyChunk>) -> (Result<usize, ()>, Option<bool>) {
-    let (source, mut flow) = BodyStream::new(length);
-    let told = Rc::new(Cell::new(None));
-    let told_at_end = told.clone();
-    flow.at_end(Box::new(move |whole| told_at_end.set(Some(whole))));
-    let send = async move {
-        for part in parts {
-            let _ = source.send(part).await;
+use http_body_util::BodyExt;
+
+use super::*;
+
+/// How a stream ended: for its reader, which gets the number of bytes, and for its callback.
+#[derive(Debug, PartialEq)]
+struct StreamEnd {
+    bytes_read: Option<usize>,
+    reported_complete: Option<bool>,
+}
+
+async fn collect(length: Option<u64>, chunks: Vec<BodyChunk>) -> StreamEnd {
+    let (sender, mut stream) = BodyStream::new(length);
+    let reported_complete = Rc::new(Cell::new(None));
+    let reported = reported_complete.clone();
+    stream.on_end(Box::new(move |complete| reported.set(Some(complete))));
+    let send_all = async move {
+        for chunk in chunks {
+            let _ = sender.send(chunk).await;
         }
     };
-    let (_, body) = tokio::join!(send, flow.collect());
-    (body.map(|b| b.to_bytes().len()).map_err(|_| ()), told.get())
+    let (_, body) = tokio::join!(send_all, stream.collect());
+    StreamEnd {
+        bytes_read: body.ok().map(|body| body.to_bytes().len()),
+        reported_complete: reported_complete.get(),
+    }
 }
 
 #[test]
-fn a_flow_is_whole_only_with_its_end_or_its_length() {
+fn stream_is_complete_only_with_its_end_or_its_length() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let run = |length, chunks| runtime.block_on(collect(length, chunks));
     let data = || BodyChunk::Data(Bytes::from_static(b"1234"), None);
-    let run = |length, parts| runtime.block_on(collected(length, parts));
-    assert_eq!(run(None, vec![data(), data(), BodyChunk::End]), (Ok(8), Some(true)));
-    assert_eq!(run(None, vec![data(), data()]), (Err(()), Some(false)));
-    assert_eq!(run(Some(8), vec![data(), data()]), (Ok(8), Some(true)));
-    assert_eq!(run(Some(9), vec![data(), data(), BodyChunk::End]), (Err(()), Some(false)));
-}
-
-#[test]
-fn what_is_in_hand_of_all_bodies_is_bounded() {
-    let pool = Pool::new(128 << 10);
-    let first = pool.try_reserve(100 << 10);
-    assert!(first.is_some() && pool.try_reserve(100 << 10).is_none());
-    drop(first);
-    assert!(pool.try_reserve(100 << 10).is_some());
+    let complete = || StreamEnd { bytes_read: Some(8), reported_complete: Some(true) };
+    let incomplete = || StreamEnd { bytes_read: None, reported_complete: Some(false) };
+    assert_eq!(run(None, vec![data(), data(), BodyChunk::End]), complete());
+    assert_eq!(run(None, vec![data(), data()]), incomplete());
+    assert_eq!(run(Some(8), vec![data(), data()]), complete());
+    assert_eq!(run(Some(9), vec![data(), data(), BodyChunk::End]), incomplete());
 }
--- a/crates/proxy/src/driver/backends.rs
+++ b/crates/proxy/src/driver/backends.rs
@@ -9,7 +9,7 @@
 
 use super::clock::Clock;
 use crate::host::{Health, Host};
-use crate::upstream::{Upstream, Upstreams};
+use crate::upstream::{UpstreamEndpoint, UpstreamPool};
 
 /// Zones and kinds that are told apart: a bound, whatever discovery comes up with over the years.
 const NAMES: usize = 4096;
@@ -21,7 +21,7 @@
     pub balancer: &'a Balancer,
     pub clock: &'a Clock,
     pub names: &'a mut Names,
-    pub upstreams: &'a Upstreams,
+    pub upstreams: &'a UpstreamPool,
 }
 
 /// A backend's start, as discovery tells it and by the core's clock.
@@ -34,7 +34,7 @@
 /// The listed backends.
 #[derive(Default)]
 pub struct Backends {
-    endpoints: FxHashMap<EndpointId, Rc<Upstream>>,
+    endpoints: FxHashMap<EndpointId, Rc<UpstreamEndpoint>>,
     /// The list as it stands.
     hosts: FxHashMap<EndpointId, Host>,
     /// When each listed backend started. That is reckoned once, as the wall clock may be stepped after it.
@@ -103,19 +103,20 @@
     /// Makes an endpoint for a backend's process, unless there is one for that process at that address.
     fn connect(&mut self, id: EndpointId, host: &Host, context: &mut Context) {
         let Some(address) = host.dial else { return };
-        let same = |endpoint: &Rc<Upstream>| endpoint.address == address && endpoint.born_ms == host.born_ms;
+        let same =
+            |endpoint: &Rc<UpstreamEndpoint>| endpoint.address == address && endpoint.born_ms == host.born_ms;
         if self.endpoints.get(&id).is_some_and(same) {
             return;
         }
-        let endpoint = Upstream::new(address, host.born_ms);
-        endpoint.set_banned(context.balancer.in_maintenance(id));
+        let endpoint = UpstreamEndpoint::new(address, host.born_ms);
+        endpoint.set_in_maintenance(context.balancer.in_maintenance(id));
         context.upstreams.add(&endpoint);
         if let Some(old) = self.endpoints.insert(id, endpoint) {
             old.set_open(false);
         }
     }
 
-    pub fn endpoint(&self, id: EndpointId) -> Option<&Rc<Upstream>> {
+    pub fn endpoint(&self, id: EndpointId) -> Option<&Rc<UpstreamEndpoint>> {
         self.endpoints.get(&id)
     }
 
--- a/crates/proxy/src/driver/housekeeping.rs
+++ b/crates/proxy/src/driver/housekeeping.rs
@@ -49,7 +49,7 @@
         if now >= schedule.gauge_at {
             self.clock.follow_wall_clock();
             self.update_gauges();
-            self.parts.upstreams.retire();
+            self.parts.upstreams.close_expired();
             let wait = if self.has_remembered_list { REMEMBERED_LIST_WAIT } else { NO_LIST_WAIT };
             if schedule.started.elapsed() >= wait {
                 self.serve();
--- a/crates/proxy/src/driver/live.rs
+++ b/crates/proxy/src/driver/live.rs
@@ -17,7 +17,7 @@
 use crate::classes::Hold;
 use crate::inbox::{Answer, Arrival};
 use crate::open_ids::OpenId;
-use crate::upstream::{AttemptLimits, Outgoing, Reply, RequestState};
+use crate::upstream::{AttemptLimits, RequestState, UpstreamRequest, UpstreamResponse};
 
 /// The answer has to be on its way this long before the client gives up, whatever happens.
 const LAST_RESORT: Duration = Duration::from_millis(4);
@@ -33,7 +33,7 @@
     answer: Option<oneshot::Sender<Answer>>,
     /// Whether an attempt may still begin for it, or go on.
     state: Rc<Cell<RequestState>>,
-    message: Rc<Outgoing>,
+    message: Rc<UpstreamRequest>,
     /// When its client gives up.
     deadline: Instant,
     /// How long its client waits after the last byte, where that is still to come.
@@ -50,7 +50,7 @@
     _open: Option<OpenId>,
     access_record: Option<Rc<AccessRecord>>,
     /// The last error that a backend sent, where clients may see it.
-    backend_error: Option<Reply>,
+    backend_error: Option<UpstreamResponse>,
     /// How the last attempt ended.
     last_outcome: Option<Outcome>,
 }
@@ -199,7 +199,7 @@
             return report.send(Outcome::Withdrawn, None);
         };
         let deadline = timeout.map_or(live.deadline, |timeout| live.deadline.min(now + duration(timeout)));
-        let limits = AttemptLimits { deadline, begin_by: begin_by.map(|at| self.clock.instant(at)) };
+        let limits = AttemptLimits { deadline, start_by: begin_by.map(|at| self.clock.instant(at)) };
         let (upstreams, endpoint) = (self.parts.upstreams.clone(), endpoint.clone());
         let (state, message) = (live.state.clone(), live.message.clone());
         tokio::task::spawn_local(async move {
@@ -210,11 +210,12 @@
 
     /// An attempt has ended; a served one answers its request.
     pub(super) fn attempt_ended(
-        &mut self, request: RequestId, attempt: u32, latency: Millis, outcome: Outcome, reply: Option<Reply>,
+        &mut self, request: RequestId, attempt: u32, latency: Millis, outcome: Outcome,
+        reply: Option<UpstreamResponse>,
     ) {
         let Some(live) = self.live.get_mut(&request) else { return };
         live.attempts_out -= 1;
-        let spent = live.message.is_spent();
+        let spent = !live.message.is_replayable();
         live.last_outcome = Some(outcome);
         debug!(
             request = live.message.request_id(),
@@ -272,7 +273,7 @@
     }
 
     /// The error that a backend sent, if clients may see it.
-    fn backend_error(&mut self, id: RequestId) -> Option<Reply> {
+    fn backend_error(&mut self, id: RequestId) -> Option<UpstreamResponse> {
         self.live.get_mut(&id)?.backend_error.take()
     }
 
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -24,7 +24,7 @@
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::tally::Tally;
-use crate::upstream::Upstreams;
+use crate::upstream::UpstreamPool;
 
 mod backends;
 mod clock;
@@ -58,7 +58,7 @@
     /// What operators ask for.
     pub commands: mpsc::UnboundedReceiver<Command>,
     pub inbox: Inbox,
-    pub upstreams: Rc<Upstreams>,
+    pub upstreams: Rc<UpstreamPool>,
     pub peers: Option<Rc<Peers>>,
     /// The calls to discovery and what is seen of them; `None` where the list of backends is fixed.
     pub discovery: Option<(Calls, NewsReceiver)>,
@@ -161,7 +161,7 @@
             Input::Gone(id) => self.abandon(id),
             Input::Retune(to) => {
                 let (retuning, connections) = *to;
-                self.parts.upstreams.retune(&connections);
+                self.parts.upstreams.reconfigure(&connections);
                 self.handle(Event::Reconfigure(Box::new(retuning)));
             }
             Input::Ending(end) => {
--- a/crates/proxy/src/driver/operators.rs
+++ b/crates/proxy/src/driver/operators.rs
@@ -44,7 +44,7 @@
     /// Takes a backend out of use or puts it back, here alone.
     pub(super) fn ban(&mut self, id: EndpointId, banned: bool) {
         if let Some(endpoint) = self.backends.endpoint(id) {
-            endpoint.set_banned(banned);
+            endpoint.set_in_maintenance(banned);
         }
         self.handle(Event::Maintenance { endpoint: id, enabled: banned });
     }
--- a/crates/proxy/src/driver/report.rs
+++ b/crates/proxy/src/driver/report.rs
@@ -8,7 +8,7 @@
 use tracing::info;
 
 use crate::inbox::{Inbox, Input};
-use crate::upstream::{Outgoing, Reply};
+use crate::upstream::{UpstreamRequest, UpstreamResponse};
 
 /// Reports how an attempt ended, exactly once: an attempt that dies on the way may have run.
 pub struct Report {
@@ -17,7 +17,7 @@
     pub attempt: u32,
     pub backend: EndpointId,
     /// The request, for its id.
-    pub message: Rc<Outgoing>,
+    pub message: Rc<UpstreamRequest>,
     /// When the request had gone out whole, as far as is known.
     pub sent: Rc<Cell<Instant>>,
     /// Whether the end has been reported.
@@ -25,9 +25,9 @@
 }
 
 impl Report {
-    pub fn send(&mut self, outcome: Outcome, reply: Option<Reply>) {
+    pub fn send(&mut self, outcome: Outcome, reply: Option<UpstreamResponse>) {
         self.reported = true;
-        let at = reply.as_ref().map_or_else(Instant::now, |reply| reply.begun);
+        let at = reply.as_ref().map_or_else(Instant::now, |reply| reply.started_at);
         let latency = at.saturating_duration_since(self.sent.get()).as_secs_f64() * 1000.0;
         let (request, attempt) = (self.request, self.attempt);
         if outcome != Outcome::Served {
--- a/crates/proxy/src/frontend/connection.rs
+++ b/crates/proxy/src/frontend/connection.rs
@@ -21,7 +21,7 @@
 use super::{Frontend, MAX_HEAD_SIZE, REQUEST_TIMEOUT};
 use crate::cause::Cause;
 use crate::close_reason::ClientClose;
-use crate::socket::{half_close, is_passing};
+use crate::socket::{half_close, is_transient};
 use crate::upstream::MessageBody;
 
 /// A client that takes nothing of a streamed answer for this span is disconnected.
@@ -200,7 +200,7 @@
         match stream.try_read(&mut buffer) {
             Ok(0) => return,
             Ok(read) => remaining = remaining.saturating_sub(read),
-            Err(error) if is_passing(&error) => {}
+            Err(error) if is_transient(&error) => {}
             Err(_) => return,
         }
     }
--- a/crates/proxy/src/frontend/listener.rs
+++ b/crates/proxy/src/frontend/listener.rs
@@ -47,7 +47,7 @@
             // Out of descriptors or the like: make room, wait a moment, go on.
             Err(error) => {
                 warn!(%error, "accept failed");
-                self.upstreams.close_idle();
+                self.upstreams.evict_idle();
                 self.evict_one(false);
                 sleep(PAUSE).await;
             }
--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -33,7 +33,7 @@
 use crate::inbox::Inbox;
 use crate::metrics::Metrics;
 use crate::open_ids::OpenIds;
-use crate::upstream::Upstreams;
+use crate::upstream::UpstreamPool;
 use client::Client;
 use stages::EVICTABLE_STAGES;
 
@@ -49,7 +49,7 @@
 pub struct Frontend {
     inbox: Inbox,
     classes: Rc<RefCell<Classes>>,
-    upstreams: Rc<Upstreams>,
+    upstreams: Rc<UpstreamPool>,
     budget: Budget,
     metrics: Arc<Metrics>,
     /// The fraction of requests that leave an access event.
@@ -77,7 +77,7 @@
 impl Frontend {
     /// A frontend without connections.
     pub fn new(
-        inbox: Inbox, classes: Rc<RefCell<Classes>>, upstreams: Rc<Upstreams>, budget: Budget,
+        inbox: Inbox, classes: Rc<RefCell<Classes>>, upstreams: Rc<UpstreamPool>, budget: Budget,
         metrics: Arc<Metrics>, drained: Rc<Cell<bool>>, access_rate: Rc<Cell<f64>>,
     ) -> Rc<Self> {
         Rc::new(Frontend {
--- a/crates/proxy/src/frontend/request.rs
+++ b/crates/proxy/src/frontend/request.rs
@@ -17,14 +17,15 @@
 use super::client::{Client, ClientDisconnected};
 use super::response::{body_rejection, rejection_response, text_response};
 use crate::access_record::AccessRecord;
-use crate::body_stream::{Fault, MAX_BODY};
+use crate::body_stream::MAX_BODY_BYTES;
+use crate::body_upload::BodyError;
 use crate::cause::Cause;
 use crate::config::Dialect;
 use crate::head::{self, Rejection, RequestMeta};
 use crate::inbox::{Answer, Arrival, Input};
 use crate::metrics::RequestTicket;
 use crate::open_ids::OpenId;
-use crate::upstream::{MessageBody, Outgoing, RequestBody, remove_hop_by_hop};
+use crate::upstream::{MessageBody, RequestBody, UpstreamRequest, remove_hop_by_hop};
 
 /// A body that was read within this span arrived with its head.
 const AT_ONCE: Duration = Duration::from_millis(3);
@@ -50,7 +51,7 @@
     id: RequestId,
     meta: RequestMeta,
     open_id: Option<OpenId>,
-    message: Outgoing,
+    message: UpstreamRequest,
     /// When its last byte arrived, as far as its body has been read.
     arrived_at: Instant,
     /// Whether its body is still being received.
@@ -145,7 +146,7 @@
         if is_chunked && raw_head.is_none_or(|raw_head| head::tells_length(&raw_head)) {
             return Err(Rejection::new(StatusCode::LENGTH_REQUIRED, "the length must be told, and once"));
         }
-        if body.size_hint().lower() > MAX_BODY {
+        if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"));
         }
         let open_id = OpenId::take(&self.open_ids, &meta.id);
@@ -198,14 +199,16 @@
 }
 
 /// The request in the form in which it is sent to backends.
-fn outgoing(head: request::Parts, body: RequestBody, meta: &RequestMeta, client: &Rc<Client>) -> Outgoing {
+fn outgoing(
+    head: request::Parts, body: RequestBody, meta: &RequestMeta, client: &Rc<Client>,
+) -> UpstreamRequest {
     let mut headers = head.headers;
     remove_hop_by_hop(&mut headers);
     if !meta.sole {
         head::introduce(&mut headers, &meta.id, client.address);
     }
     let client = Rc::downgrade(client);
-    Outgoing {
+    UpstreamRequest {
         method: head.method,
         uri: head::target(&head.uri),
         headers,
@@ -218,8 +221,8 @@
 
 /// Waits for the final answer, while the rest of a streamed body is read.
 async fn answer_while_uploading(
-    answered: oneshot::Receiver<Answer>, upload: Option<impl Future<Output = Result<(), Fault>>>,
-) -> Result<Answer, Fault> {
+    answered: oneshot::Receiver<Answer>, upload: Option<impl Future<Output = Result<(), BodyError>>>,
+) -> Result<Answer, BodyError> {
     // The driver drops the sender only if it fails.
     let answer = async { answered.await.unwrap_or(Answer::Failed) };
     let Some(upload) = upload else { return Ok(answer.await) };
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -11,12 +11,13 @@
 
 use super::Frontend;
 use super::client::{Client, Stage};
-use crate::body_stream::{BodyStream, Fault};
+use crate::body_stream::BodyStream;
+use crate::body_upload::BodyError;
 use crate::cause::Cause;
 use crate::head::Rejection;
 use crate::inbox::Answer;
 use crate::metrics::RequestTicket;
-use crate::upstream::{MessageBody, Reply};
+use crate::upstream::{MessageBody, UpstreamResponse};
 
 impl Frontend {
     /// The response that carries a request's final answer, and the end of the request: at once, or with the last byte
@@ -43,7 +44,7 @@
     }
 
     fn served(
-        self: &Rc<Self>, mut reply: Reply, ticket: RequestTicket, client: &Rc<Client>,
+        self: &Rc<Self>, mut reply: UpstreamResponse, ticket: RequestTicket, client: &Rc<Client>,
     ) -> Response<MessageBody> {
         reply.body = match reply.body {
             Either::Left(body) => {
@@ -62,7 +63,7 @@
         client.streaming.set(true);
         client.last_write.set(Instant::now());
         let client = client.clone();
-        stream.at_end(Box::new(move |complete| {
+        stream.on_end(Box::new(move |complete| {
             ticket.end(if complete { Cause::Served } else { Cause::AnswerBroken });
             client.streaming.set(false);
             if complete {
@@ -95,15 +96,15 @@
 }
 
 /// The rejection of a client that does not finish its body.
-pub(super) fn body_rejection(fault: Fault) -> Rejection {
+pub(super) fn body_rejection(fault: BodyError) -> Rejection {
     match fault {
-        Fault::Slow => Rejection::new(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
-        Fault::Malformed => Rejection::new(StatusCode::BAD_REQUEST, "the body is malformed"),
+        BodyError::TooSlow => Rejection::new(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
+        BodyError::Malformed => Rejection::new(StatusCode::BAD_REQUEST, "the body is malformed"),
     }
 }
 
 /// A backend's reply as its client gets it.
-fn reply_response(reply: Reply) -> Response<MessageBody> {
+fn reply_response(reply: UpstreamResponse) -> Response<MessageBody> {
     let mut response = Response::new(reply.body);
     *response.status_mut() = reply.status;
     *response.headers_mut() = reply.headers;
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -14,7 +14,7 @@
 use crate::classes::Hold;
 use crate::host::Host;
 use crate::open_ids::OpenId;
-use crate::upstream::{Outgoing, Reply};
+use crate::upstream::{UpstreamRequest, UpstreamResponse};
 
 /// What happens outside the module.
 pub enum Input {
@@ -33,7 +33,13 @@
     /// The last byte of a body that is sent on while it comes has been taken.
     Uploaded(RequestId),
     /// An attempt has ended.
-    Ended { request: RequestId, attempt: u32, latency: Millis, outcome: Outcome, reply: Option<Reply> },
+    Ended {
+        request: RequestId,
+        attempt: u32,
+        latency: Millis,
+        outcome: Outcome,
+        reply: Option<UpstreamResponse>,
+    },
     /// A list that is fixed or remembered.
     List(ListScope, Vec<Host>),
     /// Another proxy's message.
@@ -52,7 +58,7 @@
     pub deadline: Instant,
     /// How long it waits, where its time begins only with the last byte of its body.
     pub upload: Option<Duration>,
-    pub message: Outgoing,
+    pub message: UpstreamRequest,
     pub answer: oneshot::Sender<Answer>,
     /// `None` for requests that leave no access event.
     pub access_record: Option<Rc<AccessRecord>>,
@@ -62,7 +68,7 @@
 
 /// The one final answer.
 pub enum Answer {
-    Served(Reply),
+    Served(UpstreamResponse),
     /// Trying again is harmless.
     Refused {
         /// After which span.
@@ -71,7 +77,7 @@
         tried: bool,
     },
     /// A backend's error, passed on.
-    Passed(Reply),
+    Passed(UpstreamResponse),
     Failed,
 }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -5,11 +5,14 @@
 
 mod access_record;
 mod admin;
+mod body_memory;
 mod body_stream;
+mod body_upload;
 mod cause;
 mod classes;
 mod close_reason;
 pub mod config;
+mod denial;
 mod discovery;
 mod driver;
 mod error;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -19,7 +19,7 @@
 use crate::access_record::AccessRecord;
 use crate::cause::Cause;
 use crate::close_reason::{BackendClose, ClientClose};
-use crate::upstream::Denial;
+use crate::denial::Denial;
 
 /// A label that is one of a few fixed words.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -15,7 +15,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tracing::{info, warn};
 
-use crate::body_stream;
+use crate::body_memory;
 use crate::classes::{Classes, TooManyHeldClasses};
 use crate::config::{self, Config, Dialect, Faults, Origin, Source};
 use crate::driver::{Driver, Parts};
@@ -201,11 +201,11 @@
     // The module sends to a backend only while it has a free slot there, but clients come as they like: most of the
     // budget is theirs, yet never the backends' part.
     // Two processes share the memory during an upgrade.
-    let pool = || body_stream::Pool::new(config.memory / POOL);
-    let memory = body_stream::Memory { pieces: pool(), ahead: pool() };
+    let pool = || body_memory::MemoryBudget::new(config.memory / POOL);
+    let memory = body_memory::BodyMemory { streamed: pool(), read_ahead: pool() };
     let plain = matches!(config.dialect, Dialect::Plain(_));
     let upstreams =
-        upstream::Upstreams::new(&config.connections, budget.backends(), plain, metrics.clone(), memory);
+        upstream::UpstreamPool::new(&config.connections, budget.backends(), plain, metrics.clone(), memory);
     let upstreams = Rc::new(upstreams);
     let drained = Rc::new(Cell::new(false));
     let parts = Parts {
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,4 +1,4 @@
-//! Helpers for sockets that several parts of the proxy hold at once.
+//! Operations on sockets that several parts of the proxy hold at once.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Errors of Linux by their numbers.
+// Linux error numbers.
 const ENOMEM: i32 = 12;
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
@@ -16,9 +16,12 @@
 const EADDRNOTAVAIL: i32 = 99;
 const ENOBUFS: i32 = 105;
 
+/// Errors of opening a connection that say that this machine lacks a descriptor, memory or a port.
+const LOCAL_ERRORS: [i32; 6] = [EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRINUSE, EADDRNOTAVAIL];
+
 /// What can be read from a socket next.
 #[derive(PartialEq)]
-pub enum Peeked {
+pub enum PeekResult {
     /// Nothing yet.
     Nothing,
     /// Unread bytes.
@@ -27,17 +30,17 @@
     End,
 }
 
-/// Peeks at a socket. The system itself is asked, which may know more than the runtime has been told. What the system
-/// can't tell for a moment says nothing of the connection.
-pub fn peek(stream: &TcpStream) -> Peeked {
+/// Peeks at a socket. The system itself is asked, which may know more than the runtime has been notified of. If the
+/// system lacks memory for a moment, that says nothing of the connection.
+pub fn peek(stream: &TcpStream) -> PeekResult {
     loop {
         match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
-            Ok(0) => return Peeked::End,
-            Ok(_) => return Peeked::Bytes,
-            Err(e) => match e.kind() {
+            Ok(0) => return PeekResult::End,
+            Ok(_) => return PeekResult::Bytes,
+            Err(error) => match error.kind() {
                 io::ErrorKind::Interrupted => {}
-                io::ErrorKind::WouldBlock | io::ErrorKind::OutOfMemory => return Peeked::Nothing,
-                _ => return Peeked::End,
+                io::ErrorKind::WouldBlock | io::ErrorKind::OutOfMemory => return PeekResult::Nothing,
+                _ => return PeekResult::End,
             },
         }
     }
@@ -45,7 +48,7 @@
 
 /// Whether the other side has ended the connection, if no unread bytes precede the end.
 pub fn has_ended(stream: &TcpStream) -> bool {
-    peek(stream) == Peeked::End
+    peek(stream) == PeekResult::End
 }
 
 /// Reads through a shared reference.
@@ -53,12 +56,12 @@
     loop {
         ready!(stream.poll_read_ready(cx))?;
         match stream.try_read(buf.initialize_unfilled()) {
-            Ok(n) => {
-                buf.advance(n);
+            Ok(read) => {
+                buf.advance(read);
                 return Poll::Ready(Ok(()));
             }
-            Err(e) if is_passing(&e) => {}
-            Err(e) => return Poll::Ready(Err(e)),
+            Err(error) if is_transient(&error) => {}
+            Err(error) => return Poll::Ready(Err(error)),
         }
     }
 }
@@ -68,25 +71,24 @@
     loop {
         ready!(stream.poll_write_ready(cx))?;
         match stream.try_write(bytes) {
-            Err(e) if is_passing(&e) => {}
-            done => return Poll::Ready(done),
+            Err(error) if is_transient(&error) => {}
+            result => return Poll::Ready(result),
         }
     }
 }
 
-/// Whether an error says no more than that the call is to be made again, once the socket is ready.
-pub fn is_passing(error: &io::Error) -> bool {
+/// Whether an error only says that the call is to be made again, once the socket is ready.
+pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Whether a connection could not be opened for want of something here: a descriptor, memory or a port. It says nothing of
-/// the other side.
-pub fn is_local(error: &io::Error) -> bool {
-    const LOCAL: [i32; 6] = [EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRINUSE, EADDRNOTAVAIL];
-    error.raw_os_error().is_some_and(|number| LOCAL.contains(&number))
+/// Whether a connection could not be opened because this machine lacks something: a descriptor, memory or a port. Such
+/// an error says nothing of the other side.
+pub fn is_local_error(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|number| LOCAL_ERRORS.contains(&number))
 }
 
-/// A connection on which interrupted calls are made again; the runtime's own passes them on as errors.
+/// A connection that retries interrupted calls; the runtime's own passes them on as errors.
 pub struct Uninterrupted(pub TcpStream);
 
 impl AsyncRead for Uninterrupted {
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -12,22 +12,25 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::task::JoinHandle;
 
-use super::message::MessageBody;
+use super::request::MessageBody;
 use super::request_progress::RequestProgress;
 use crate::close_reason::BackendClose;
-use crate::socket::{Peeked, half_close, peek, poll_read, poll_write};
+use crate::socket::{PeekResult, half_close, peek, poll_read, poll_write};
 
 /// A connection to a backend; dropping it closes the socket.
 pub(super) struct Connection {
+    /// Hands requests to hyper's task.
     pub(super) sender: SendRequest<MessageBody>,
+    /// How far the current request and its response have come.
     pub(super) progress: Rc<RequestProgress>,
+    /// The socket, for checks that bypass hyper.
     pub(super) stream: Rc<TcpStream>,
-    /// The socket's share of the budget, held for as long as this end keeps it open.
+    /// The socket's permit from the budget, held for as long as this end keeps it open.
     pub(super) _permit: Rc<OwnedSemaphorePermit>,
     /// Hyper's task that reads and writes the socket.
     pub(super) task: JoinHandle<()>,
-    /// It has carried no request yet.
-    pub(super) first: bool,
+    /// No request has been completed on it yet.
+    pub(super) is_new: bool,
     /// Why it is closed, once it is dropped.
     pub(super) close_reason: Cell<BackendClose>,
 }
@@ -40,18 +43,20 @@
 }
 
 impl Connection {
-    /// Whether a request may be sent on it: the backend has neither closed it nor sent anything unasked. The runtime
-    /// may not have been told of its end yet, so the socket itself is asked.
+    /// Whether a request may be sent on it: the backend has neither closed it nor sent unsolicited bytes. The runtime
+    /// may not have been notified of that yet, so the socket itself is checked.
     pub(super) fn is_alive(&self) -> bool {
-        peek(&self.stream) == Peeked::Nothing && self.sender.is_ready()
+        peek(&self.stream) == PeekResult::Nothing && self.sender.is_ready()
     }
 }
 
-/// The socket under a connection; every byte is reported to the request's progress.
+/// The socket under a connection; every byte is recorded in the request's progress.
 pub(super) struct MeteredSocket {
+    /// The socket, shared with the connection.
     pub(super) stream: Rc<TcpStream>,
+    /// The progress, shared with the connection.
     pub(super) progress: Rc<RequestProgress>,
-    /// The socket's share of the budget.
+    /// The socket's permit from the budget.
     pub(super) _permit: Rc<OwnedSemaphorePermit>,
 }
 
@@ -66,11 +71,11 @@
 
 impl AsyncWrite for MeteredSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if !self.progress.admit() {
+        if !self.progress.may_write() {
             return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
         }
-        // Bytes that precede the request can't answer it, and an end of the stream now is not one after it.
-        if !self.progress.begun.get() && peek(&self.stream) != Peeked::Nothing {
+        // Bytes that precede the request can't be its response, and an end of the stream now is not one after it.
+        if !self.progress.has_started() && peek(&self.stream) != PeekResult::Nothing {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let written = ready!(poll_write(&self.stream, cx, bytes))?;
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -1,66 +1,77 @@
-//! Opens connections within the budget of sockets.
+//! Opens connections to backends.
 
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::sync::Arc;
 
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 use tokio::sync::OwnedSemaphorePermit;
+use tokio::time::error::Elapsed;
 
 use super::connection::{Connection, MeteredSocket};
-use super::pool::Upstreams;
 use super::request_progress::RequestProgress;
+use crate::metrics::Metrics;
+use crate::socket::is_local_error;
 
-/// Size of a connection's buffers, which bounds an answer's head too.
+/// Size of a connection's buffers, which bounds a response's head too.
 const BUFFER_SIZE: usize = 32 << 10;
 
-impl Upstreams {
-    /// Opens a connection once the budget has a socket for it.
-    pub(super) async fn dial(&self, address: SocketAddr) -> io::Result<Connection> {
-        let permit = Rc::new(self.acquire_socket().await?);
-        self.metrics.dials.inc();
-        let stream = Rc::new(TcpStream::connect(address).await?);
-        stream.set_nodelay(true)?;
-        let progress = Rc::new(RequestProgress::new(self.metrics.clone()));
-        let socket =
-            MeteredSocket { stream: stream.clone(), progress: progress.clone(), _permit: permit.clone() };
-        let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER_SIZE)
-            .handshake(TokioIo::new(socket))
-            .await
-            .map_err(io::Error::other)?;
-        let task = tokio::task::spawn_local(async move {
-            let _ = connection.await; // the request in flight sees the error
-        });
-        let close_reason = Cell::default();
-        Ok(Connection { sender, progress, stream, _permit: permit, task, first: true, close_reason })
-    }
+/// Why no connection was opened. Only an error of the other side may count against the backend.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ConnectError {
+    /// This machine lacks a descriptor, a port or a buffer.
+    #[error("local error: {0}")]
+    Local(io::Error),
+    /// The backend, or the network before it, did not accept the connection.
+    #[error("remote error: {0}")]
+    Remote(io::Error),
+    /// The connection did not come up in time.
+    #[error("timed out")]
+    TimedOut,
+}
 
-    /// Waits for a socket of the budget. If there is none, the longest idle connection gives up its own.
-    async fn acquire_socket(&self) -> io::Result<OwnedSemaphorePermit> {
-        if self.sockets.available_permits() == 0 {
-            self.close_idle();
-        }
-        let _waiter = Waiter::new(&self.waiting);
-        self.sockets.clone().acquire_owned().await.map_err(io::Error::other)
+impl From<io::Error> for ConnectError {
+    fn from(error: io::Error) -> Self {
+        if is_local_error(&error) { ConnectError::Local(error) } else { ConnectError::Remote(error) }
     }
 }
 
-/// Counts one attempt that waits for a socket, until dropped.
-struct Waiter<'a>(&'a Cell<usize>);
-
-impl<'a> Waiter<'a> {
-    fn new(count: &'a Cell<usize>) -> Self {
-        count.set(count.get() + 1);
-        Waiter(count)
+impl From<Elapsed> for ConnectError {
+    fn from(_: Elapsed) -> Self {
+        ConnectError::TimedOut
     }
 }
 
-impl Drop for Waiter<'_> {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
+/// Opens a connection on a socket of the budget.
+pub(super) async fn dial(
+    address: SocketAddr, permit: OwnedSemaphorePermit, metrics: Arc<Metrics>,
+) -> Result<Connection, ConnectError> {
+    let permit = Rc::new(permit);
+    metrics.dials.inc();
+    let stream = Rc::new(TcpStream::connect(address).await?);
+    stream.set_nodelay(true)?;
+    let progress = Rc::new(RequestProgress::new(metrics));
+    let socket =
+        MeteredSocket { stream: stream.clone(), progress: progress.clone(), _permit: permit.clone() };
+    let (sender, connection) = http1::Builder::new()
+        .max_buf_size(BUFFER_SIZE)
+        .handshake(TokioIo::new(socket))
+        .await
+        .map_err(io::Error::other)?;
+    let task = tokio::task::spawn_local(async move {
+        let _ = connection.await; // the request in flight sees the error
+    });
+    Ok(Connection {
+        sender,
+        progress,
+        stream,
+        _permit: permit,
+        task,
+        is_new: true,
+        close_reason: Cell::default(),
+    })
 }
--- a/crates/proxy/src/upstream/keep_alive.rs
+++ b/crates/proxy/src/upstream/keep_alive.rs
@@ -7,12 +7,16 @@
 const SAMPLE_REQUESTS: f64 = 16.0;
 /// A rate of rejections from here on counts as high.
 const HIGH_REJECTION_RATE: f64 = 0.15;
-/// Factor by which each new connection shortens the span while their rejection rate is high.
+/// The rate on new connections counts as high only above this multiple of the rate on reused ones.
+const REUSED_RATE_MULTIPLE: f64 = 2.0;
+/// Factor by which each new connection shortens the keep-alive time while their rejection rate is high.
 const SHRINK_FACTOR: f64 = 0.8;
 /// Factor by which each new connection lengthens it otherwise.
 const GROWTH_FACTOR: f64 = 1.05;
 /// A connection that would be kept for less is closed at once.
 pub(super) const MIN_KEEP_ALIVE: Duration = Duration::from_millis(100);
+/// Added each time the keep-alive time is lengthened, so that it also grows from nothing.
+const GROWTH_STEP: Duration = Duration::from_millis(10);
 
 /// The adaptive keep-alive time of idle connections.
 ///
@@ -22,7 +26,7 @@
 /// accepted.
 pub(super) struct KeepAlive {
     max: Cell<Duration>,
-    span: Cell<Duration>,
+    timeout: Cell<Duration>,
     /// Rejection rate of requests that were the first on their connection.
     new_rejections: Cell<f64>,
     /// Rejection rate of requests on reused connections.
@@ -33,7 +37,7 @@
     pub(super) fn new(max: Duration) -> Self {
         KeepAlive {
             max: Cell::new(max),
-            span: Cell::new(max),
+            timeout: Cell::new(max),
             new_rejections: Cell::default(),
             reused_rejections: Cell::default(),
         }
@@ -42,33 +46,38 @@
     /// Changes the upper limit.
     pub(super) fn set_max(&self, max: Duration) {
         self.max.set(max);
-        self.span.set(self.span.get().min(max));
+        self.timeout.set(self.timeout.get().min(max));
     }
 
     /// How long a connection may be idle at present.
-    pub(super) fn span(&self) -> Duration {
-        self.span.get()
+    pub(super) fn timeout(&self) -> Duration {
+        self.timeout.get()
     }
 
     /// Records whether a request was rejected, and whether it was the first on its connection.
-    pub(super) fn record(&self, first: bool, rejected: bool) {
-        let rate = if first { &self.new_rejections } else { &self.reused_rejections };
+    pub(super) fn record(&self, is_new: bool, rejected: bool) {
+        let rate = if is_new { &self.new_rejections } else { &self.reused_rejections };
         let sample = if rejected { 1.0 } else { 0.0 };
         rate.set(rate.get() + (sample - rate.get()) / SAMPLE_REQUESTS);
-        if first {
+        if is_new {
             self.adapt();
         }
     }
 
     fn adapt(&self) {
-        let (new, reused) = (self.new_rejections.get(), self.reused_rejections.get());
-        // A backend whose queue is full rejects on reused connections as well.
-        let too_many_connections = new > HIGH_REJECTION_RATE && new > 2.0 * reused;
-        let span = if too_many_connections {
-            self.span.get().mul_f64(SHRINK_FACTOR)
+        let timeout = if self.has_too_many_connections() {
+            self.timeout.get().mul_f64(SHRINK_FACTOR)
         } else {
-            self.span.get().mul_f64(GROWTH_FACTOR) + MIN_KEEP_ALIVE / 10
+            self.timeout.get().mul_f64(GROWTH_FACTOR) + GROWTH_STEP
         };
-        self.span.set(span.min(self.max.get()));
+        self.timeout.set(timeout.min(self.max.get()));
+    }
+
+    /// Whether backends reject requests for the number of connections. One whose queue is full rejects on reused
+    /// connections as well.
+    fn has_too_many_connections(&self) -> bool {
+        let new = self.new_rejections.get();
+        let reused = self.reused_rejections.get();
+        new > HIGH_REJECTION_RATE && new > REUSED_RATE_MULTIPLE * reused
     }
 }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,83 +1,90 @@
-//! The connection pool of all backends, within the budget of sockets.
+//! The connection pool of all upstream endpoints, within the budget of sockets.
 
 use std::cell::{Cell, RefCell};
-use std::io;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
+use leadrelay_core::Outcome;
 use leadrelay_core::settings::json::Connections;
-use tokio::sync::Semaphore;
 use tokio::time::{Instant, timeout};
 
 use super::connection::Connection;
-use super::endpoint::Upstream;
-use super::keep_alive::KeepAlive;
-use crate::body_stream::Memory;
+use super::dial::{ConnectError, dial};
+use super::endpoint::UpstreamEndpoint;
+use super::keep_alive::{KeepAlive, MIN_KEEP_ALIVE};
+use super::socket_budget::SocketBudget;
+use crate::body_memory::BodyMemory;
 use crate::close_reason::BackendClose;
 use crate::metrics::Metrics;
 
-/// An idle connection is closed after this fraction of the span after which its backend would close it.
+/// An idle connection is closed after this fraction of the time after which its backend would close it.
 const IDLE_FRACTION: f64 = 0.7;
-/// Keep-alive times from here on are left to the sweeps, which come once a second.
-const LEFT_TO_SWEEPS: Duration = Duration::from_secs(5);
+/// Shorter keep-alive times than this need `close_expired`, as sweeps come only once a second.
+const MIN_SWEPT_KEEP_ALIVE: Duration = Duration::from_secs(5);
+/// Longest wait until a connection is ready for its next request.
+const READY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Bounds of a time-out from the settings, in milliseconds.
+const MIN_TIMEOUT_MS: f64 = 1.0;
+const MAX_TIMEOUT_MS: f64 = 3.6e6;
 
 /// What all attempts share: the connection pool, time-outs and the budget of sockets.
-pub struct Upstreams {
-    pub memory: Memory,
-    /// Whether any answer but a server's error counts as served, and errors are passed on as backends word them.
+pub struct UpstreamPool {
+    /// The memory for bodies, shared with the clients' side.
+    pub memory: BodyMemory,
+    /// Whether any response but a server's error counts as served, and errors are passed on as backends word them.
     pub(super) any_status_serves: bool,
-    pub(super) metrics: Arc<Metrics>,
+    metrics: Arc<Metrics>,
     dial_timeout: Cell<Duration>,
-    pub(super) keep: KeepAlive,
-    pub(super) sockets: Arc<Semaphore>,
-    max_sockets: usize,
-    /// Attempts that wait for a socket.
-    pub(super) waiting: Cell<usize>,
-    /// The endpoints whose idle connections are looked after.
-    endpoints: RefCell<Vec<Rc<Upstream>>>,
-    /// Until when a request may begin by the list of backends that is held.
-    pub(super) list_valid_until: Rc<Cell<Instant>>,
+    keep_alive: KeepAlive,
+    sockets: SocketBudget,
+    /// The endpoints whose idle connections expire.
+    endpoints: RefCell<Vec<Rc<UpstreamEndpoint>>>,
+    /// Until when a request may start by the endpoint list.
+    list_valid_until: Rc<Cell<Instant>>,
 }
 
-impl Upstreams {
+impl UpstreamPool {
     /// An empty pool with a budget of `max_sockets`.
     pub fn new(
         connections: &Connections, max_sockets: usize, any_status_serves: bool, metrics: Arc<Metrics>,
-        memory: Memory,
+        memory: BodyMemory,
     ) -> Self {
-        Upstreams {
+        UpstreamPool {
             memory,
             any_status_serves,
             metrics,
             dial_timeout: Cell::new(dial_timeout(connections)),
-            keep: KeepAlive::new(max_keep_alive(connections)),
-            sockets: Arc::new(Semaphore::new(max_sockets)),
-            max_sockets,
-            waiting: Cell::new(0),
+            keep_alive: KeepAlive::new(max_keep_alive(connections)),
+            sockets: SocketBudget::new(max_sockets),
             endpoints: RefCell::default(),
             list_valid_until: Rc::new(Cell::new(Instant::now())),
         }
     }
 
-    /// From then on no request may begin, unless this is called again.
+    /// Sets until when requests may start by the endpoint list, unless it is renewed before.
     pub fn set_list_valid_until(&self, at: Instant) {
         self.list_valid_until.set(at);
     }
 
-    /// Applies other settings from now on.
-    pub fn retune(&self, connections: &Connections) {
+    /// Until when requests may start by the endpoint list, as their guards look it up.
+    pub(super) fn list_valid_until(&self) -> &Rc<Cell<Instant>> {
+        &self.list_valid_until
+    }
+
+    /// Applies new settings.
+    pub fn reconfigure(&self, connections: &Connections) {
         self.dial_timeout.set(dial_timeout(connections));
-        self.keep.set_max(max_keep_alive(connections));
+        self.keep_alive.set_max(max_keep_alive(connections));
     }
 
     /// Sockets in use.
     pub fn in_use(&self) -> usize {
-        self.max_sockets - self.sockets.available_permits()
+        self.sockets.in_use()
     }
 
-    /// Adds an endpoint to those whose idle connections are looked after.
-    pub fn add(&self, endpoint: &Rc<Upstream>) {
+    /// Adds an endpoint to those whose idle connections expire.
+    pub fn add(&self, endpoint: &Rc<UpstreamEndpoint>) {
         self.endpoints.borrow_mut().push(endpoint.clone());
     }
 
@@ -85,52 +92,100 @@
     /// holds.
     pub fn sweep(&self) {
         let now = Instant::now();
-        let span = self.keep.span();
+        let keep_alive = self.keep_alive.timeout();
         self.endpoints.borrow_mut().retain(|endpoint| {
-            endpoint.close_idle(BackendClose::Idle, |idle| now - idle.since >= span);
-            endpoint.close_idle(BackendClose::ByBackend, |idle| !idle.connection.is_alive());
+            endpoint.close_idle_if(BackendClose::Idle, |idle| now - idle.since >= keep_alive);
+            endpoint.close_idle_if(BackendClose::ByBackend, |idle| !idle.connection.is_alive());
             Rc::strong_count(endpoint) > 1
         });
     }
 
-    /// Closes connections that have been idle for too long, if that is too short a span for the sweeps. Cheaper than
-    /// a sweep.
-    pub fn retire(&self) {
-        let span = self.keep.span();
-        if span >= LEFT_TO_SWEEPS {
+    /// Closes connections that have been idle for too long, if the keep-alive time is too short for the sweeps.
+    /// Cheaper than a sweep.
+    pub fn close_expired(&self) {
+        let keep_alive = self.keep_alive.timeout();
+        if keep_alive >= MIN_SWEPT_KEEP_ALIVE {
             return;
         }
         let now = Instant::now();
         for endpoint in self.endpoints.borrow().iter() {
-            endpoint.close_idle(BackendClose::Idle, |idle| now - idle.since >= span);
+            endpoint.close_idle_if(BackendClose::Idle, |idle| now - idle.since >= keep_alive);
         }
     }
 
     /// Closes the connection that has been idle longest, of all endpoints.
-    pub fn close_idle(&self) {
+    pub fn evict_idle(&self) {
         let endpoints = self.endpoints.borrow();
-        let idle_since = |endpoint: &Upstream| endpoint.idle.borrow().first().map(|idle| idle.since);
-        let oldest = endpoints
+        let longest_idle = endpoints
             .iter()
-            .filter_map(|endpoint| Some((idle_since(endpoint)?, endpoint)))
+            .filter_map(|endpoint| Some((endpoint.longest_idle_since()?, endpoint)))
             .min_by_key(|(since, _)| *since);
-        if let Some((_, endpoint)) = oldest {
-            let idle = endpoint.idle.borrow_mut().remove(0);
-            idle.connection.close_reason.set(BackendClose::Evicted);
+        if let Some((_, endpoint)) = longest_idle {
+            endpoint.evict_longest_idle();
+        }
+    }
+
+    /// Takes an idle connection, or opens a new one if there is none.
+    pub(super) async fn connect(&self, endpoint: &UpstreamEndpoint) -> Result<Connection, ConnectError> {
+        match self.take_idle(endpoint) {
+            Some(connection) => Ok(connection),
+            None => timeout(self.dial_timeout.get(), self.open(endpoint)).await?,
         }
     }
 
-    /// Takes an idle connection, or dials where there is none.
-    pub(super) async fn connect(&self, endpoint: &Upstream) -> io::Result<Connection> {
+    /// Takes an idle connection that may carry a request; closes those that may not.
+    fn take_idle(&self, endpoint: &UpstreamEndpoint) -> Option<Connection> {
         while let Some(idle) = endpoint.take_idle() {
-            let reason = match idle.since.elapsed() < self.keep.span() {
-                true if idle.connection.is_alive() => return Ok(idle.connection),
+            let reason = match idle.since.elapsed() < self.keep_alive.timeout() {
+                true if idle.connection.is_alive() => return Some(idle.connection),
                 true => BackendClose::ByBackend,
                 false => BackendClose::Idle,
             };
             idle.connection.close_reason.set(reason);
         }
-        timeout(self.dial_timeout.get(), self.dial(endpoint.address)).await?
+        None
+    }
+
+    /// Opens a connection once the budget has a socket for it. If it has none, the longest idle connection is closed.
+    async fn open(&self, endpoint: &UpstreamEndpoint) -> Result<Connection, ConnectError> {
+        if self.sockets.is_exhausted() {
+            self.evict_idle();
+        }
+        let permit = self.sockets.acquire().await?;
+        dial(endpoint.address, permit, self.metrics.clone()).await
+    }
+
+    /// Takes a connection back after an exchange: keeps it idle if it is of further use, or closes it.
+    pub(super) async fn release(
+        &self, mut connection: Connection, endpoint: &UpstreamEndpoint, outcome: Outcome, reusable: bool,
+    ) {
+        self.keep_alive.record(connection.is_new, outcome == Outcome::Rejected);
+        connection.is_new = false;
+        connection.progress.finish();
+        let ready = reusable && matches!(timeout(READY_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())));
+        if ready && endpoint.is_open() && self.may_keep_idle() {
+            endpoint.put_idle(connection);
+            return;
+        }
+        let reason = if endpoint.is_open() { BackendClose::NotReusable } else { BackendClose::OutOfService };
+        connection.close_reason.set(reason);
+    }
+
+    /// Whether connections may be idle: an attempt that waits for a socket would otherwise go on waiting.
+    fn may_keep_idle(&self) -> bool {
+        !self.sockets.has_waiters() && self.keep_alive.timeout() > MIN_KEEP_ALIVE
+    }
+
+    /// The present keep-alive time.
+    #[cfg(test)]
+    pub(super) fn keep_alive_timeout(&self) -> Duration {
+        self.keep_alive.timeout()
+    }
+
+    /// Whether an attempt waits for a socket.
+    #[cfg(test)]
+    pub(super) fn has_waiters(&self) -> bool {
+        self.sockets.has_waiters()
     }
 }
 
@@ -144,7 +199,6 @@
     clamped(connections.idle_close * IDLE_FRACTION)
 }
 
-/// A span between a millisecond and an hour.
-fn clamped(ms: f64) -> Duration {
-    Duration::from_secs_f64(ms.clamp(1.0, 3.6e6) / 1000.0)
+fn clamped(timeout_ms: f64) -> Duration {
+    Duration::from_secs_f64(timeout_ms.clamp(MIN_TIMEOUT_MS, MAX_TIMEOUT_MS) / 1000.0)
 }
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -11,252 +11,276 @@
 use leadrelay_core::Outcome;
 use leadrelay_core::settings::json::Connections;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout};
 
 use super::keep_alive::MIN_KEEP_ALIVE;
-use super::request_progress::HEAD_END;
+use super::request_framing::HEAD_END;
 use super::*;
-use crate::body_stream::{Memory, Pool};
+use crate::body_memory::{BodyMemory, MemoryBudget};
 
 mod units;
 
-/// The moment up to which the list of backends is valid: far away.
-fn valid() -> Rc<Cell<Instant>> {
+const SERVED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const REJECTED: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+
+/// A time up to which the endpoint list is valid: far away.
+fn list_valid_until() -> Rc<Cell<Instant>> {
     Rc::new(Cell::new(Instant::now() + Duration::from_secs(3600)))
 }
 
-fn outgoing(body: Bytes, left: bool) -> Rc<Outgoing> {
-    let (method, uri, headers) = (Method::POST, Uri::from_static("/x"), HeaderMap::new());
-    let body = RequestBody::Buffered { bytes: body, _memory: None };
-    Rc::new(Outgoing { method, uri, headers, body, client_disconnected: Box::new(move || left) })
+fn pending() -> Rc<Cell<RequestState>> {
+    Rc::new(Cell::new(RequestState::Pending))
+}
+
+fn upstream_request(body: Bytes, client_disconnected: bool) -> Rc<UpstreamRequest> {
+    Rc::new(UpstreamRequest {
+        method: Method::POST,
+        uri: Uri::from_static("/x"),
+        headers: HeaderMap::new(),
+        body: RequestBody::Buffered { bytes: body, _memory: None },
+        client_disconnected: Box::new(move || client_disconnected),
+    })
 }
 
-fn upstreams(sockets: usize) -> Rc<Upstreams> {
+fn pool_of(sockets: usize) -> Rc<UpstreamPool> {
     let connections = Connections { dial_timeout: 600_000.0, idle_close: 600_000.0 };
-    let memory = Memory { pieces: Pool::new(1 << 20), ahead: Pool::new(1 << 20) };
-    let upstreams = Upstreams::new(&connections, sockets, false, Arc::default(), memory);
-    upstreams.set_list_valid_until(valid().get());
-    Rc::new(upstreams)
+    let memory = BodyMemory { streamed: MemoryBudget::new(1 << 20), read_ahead: MemoryBudget::new(1 << 20) };
+    let pool = UpstreamPool::new(&connections, sockets, false, Arc::default(), memory);
+    pool.set_list_valid_until(list_valid_until().get());
+    Rc::new(pool)
 }
 
-/// Makes an attempt at the listener's address; tells how it ended.
-fn attempted(
-    upstreams: &Rc<Upstreams>, listener: &TcpListener, body: Bytes, state: &Rc<Cell<RequestState>>,
+async fn listen() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").await.expect("a port")
+}
+
+/// Starts an attempt at the listener's address; returns how it ends.
+fn start_attempt(
+    pool: &Rc<UpstreamPool>, listener: &TcpListener, body: Bytes, state: &Rc<Cell<RequestState>>,
 ) -> JoinHandle<Option<Outcome>> {
-    let endpoint = Upstream::new(listener.local_addr().expect("its own"), 0.0);
-    upstreams.add(&endpoint);
-    attempted_at(upstreams, &endpoint, body, state)
+    let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("an address"), 0.0);
+    pool.add(&endpoint);
+    start_attempt_at(pool, &endpoint, body, state)
 }
 
-/// Makes an attempt at a backend that may have idle connections.
-fn attempted_at(
-    upstreams: &Rc<Upstreams>, endpoint: &Rc<Upstream>, body: Bytes, state: &Rc<Cell<RequestState>>,
+/// Starts an attempt at an endpoint that may have idle connections.
+fn start_attempt_at(
+    pool: &Rc<UpstreamPool>, endpoint: &Rc<UpstreamEndpoint>, body: Bytes, state: &Rc<Cell<RequestState>>,
 ) -> JoinHandle<Option<Outcome>> {
-    let (upstreams, endpoint, state) = (upstreams.clone(), endpoint.clone(), state.clone());
-    let message = outgoing(body, false);
+    let pool = pool.clone();
+    let endpoint = endpoint.clone();
+    let state = state.clone();
+    let request = upstream_request(body, false);
     tokio::task::spawn_local(async move {
-        let (mut ended, until) = (None, Instant::now() + Duration::from_secs(60));
-        let limits = AttemptLimits { deadline: until, begin_by: None };
-        upstreams.attempt(endpoint, state, message, limits, |outcome, _| ended = Some(outcome)).await;
-        ended
+        let mut reported = None;
+        let deadline = Instant::now() + Duration::from_secs(60);
+        let limits = AttemptLimits { deadline, start_by: None };
+        pool.attempt(endpoint, state, request, limits, |outcome, _| reported = Some(outcome)).await;
+        reported
     })
 }
 
-fn played(play: impl Future<Output = ()>) {
+fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let all = async { timeout(Duration::from_secs(30), play).await.expect("it ends in time") };
-    tokio::task::LocalSet::new().block_on(&runtime, all);
+    let in_time = async { timeout(Duration::from_secs(30), test).await.expect("it ends in time") };
+    tokio::task::LocalSet::new().block_on(&runtime, in_time);
 }
 
-/// Takes the next connection and reads the head on it.
-async fn next(listener: &TcpListener) -> tokio::net::TcpStream {
+/// Accepts the next connection and reads the head on it.
+async fn accept_request(listener: &TcpListener) -> TcpStream {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     read_head(&mut stream).await;
     stream
 }
 
-async fn read_head(stream: &mut tokio::net::TcpStream) {
+async fn read_head(stream: &mut TcpStream) {
     let mut read = Vec::new();
     while !read.ends_with(HEAD_END) {
         assert!(stream.read_buf(&mut read).await.expect("a head") > 0);
     }
 }
 
-const SERVED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const AWAY: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+async fn wait_until_an_attempt_waits(pool: &UpstreamPool) {
+    while !pool.has_waiters() {
+        tokio::task::yield_now().await;
+    }
+}
 
 #[test]
-fn where_backends_hold_too_few_connections_none_stands_idle() {
-    played(async {
-        let upstreams = upstreams(8);
-        let state = Rc::new(Cell::new(RequestState::Pending));
-        let [kept, full] = [
-            TcpListener::bind("127.0.0.1:0").await.expect("a port"),
-            TcpListener::bind("127.0.0.1:0").await.expect("a port"),
-        ];
-        let first = attempted(&upstreams, &kept, Bytes::new(), &state);
-        let mut idle = next(&kept).await;
+fn idle_connections_close_while_new_ones_are_rejected() {
+    run(async {
+        let pool = pool_of(8);
+        let state = pending();
+        let accepting = listen().await;
+        let rejecting = listen().await;
+        let first = start_attempt(&pool, &accepting, Bytes::new(), &state);
+        let mut idle = accept_request(&accepting).await;
         idle.write_all(SERVED).await.expect("it reads");
         assert_eq!(first.await.expect("no panic"), Some(Outcome::Served));
-        let most = upstreams.keep.span();
-        let mut tries = 0;
-        while upstreams.keep.span() > MIN_KEEP_ALIVE {
-            let attempt = attempted(&upstreams, &full, Bytes::new(), &state);
-            next(&full).await.write_all(AWAY).await.expect("it reads");
+        let max_keep_alive = pool.keep_alive_timeout();
+        let mut rejections = 0;
+        while pool.keep_alive_timeout() > MIN_KEEP_ALIVE {
+            let attempt = start_attempt(&pool, &rejecting, Bytes::new(), &state);
+            accept_request(&rejecting).await.write_all(REJECTED).await.expect("it reads");
             assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Rejected));
-            tries += 1;
-            assert!(tries < 100, "{:?}", upstreams.keep.span());
+            rejections += 1;
+            assert!(rejections < 100, "{:?}", pool.keep_alive_timeout());
         }
-        tokio::time::sleep(MIN_KEEP_ALIVE).await; // so that it has stood for longer than is now allowed
-        upstreams.retire();
+        tokio::time::sleep(MIN_KEEP_ALIVE).await; // so that it has been idle for longer than is now allowed
+        pool.close_expired();
         assert_eq!(idle.read(&mut [0; 1]).await.expect("an end"), 0);
-        // As new ones are let in, they are kept for longer again.
-        while upstreams.keep.span() < most {
-            let attempt = attempted(&upstreams, &kept, Bytes::new(), &state);
-            next(&kept).await.write_all(SERVED).await.expect("it reads");
+        // As new ones are accepted, they are kept for longer again.
+        while pool.keep_alive_timeout() < max_keep_alive {
+            let attempt = start_attempt(&pool, &accepting, Bytes::new(), &state);
+            accept_request(&accepting).await.write_all(SERVED).await.expect("it reads");
             assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Served));
         }
     });
 }
 
 #[test]
-fn who_waits_for_a_socket_gets_the_next_that_comes_free() {
-    played(async {
-        let upstreams = upstreams(1);
-        let one = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let two = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let state = Rc::new(Cell::new(RequestState::Pending));
-        let first = attempted(&upstreams, &one, Bytes::new(), &state);
-        let mut held = next(&one).await;
-        let second = attempted(&upstreams, &two, Bytes::new(), &state);
-        while upstreams.waiting.get() == 0 {
-            tokio::task::yield_now().await;
-        }
-        held.write_all(SERVED).await.expect("it reads");
+fn released_socket_goes_to_the_attempt_that_waits() {
+    run(async {
+        let pool = pool_of(1);
+        let first_backend = listen().await;
+        let second_backend = listen().await;
+        let state = pending();
+        let first = start_attempt(&pool, &first_backend, Bytes::new(), &state);
+        let mut first_stream = accept_request(&first_backend).await;
+        let second = start_attempt(&pool, &second_backend, Bytes::new(), &state);
+        wait_until_an_attempt_waits(&pool).await;
+        first_stream.write_all(SERVED).await.expect("it reads");
         assert_eq!(first.await.expect("no panic"), Some(Outcome::Served));
-        let mut next = next(&two).await;
-        next.write_all(SERVED).await.expect("it reads");
+        let mut second_stream = accept_request(&second_backend).await;
+        second_stream.write_all(SERVED).await.expect("it reads");
         assert_eq!(second.await.expect("no panic"), Some(Outcome::Served));
     });
 }
 
 #[test]
-fn the_rest_of_a_half_written_request_is_kept_from_a_backend_once_its_client_has_left() {
-    for (to, whole) in [(RequestState::Abandoned, false), (RequestState::Answered, true)] {
-        played(async move {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let state = Rc::new(Cell::new(RequestState::Pending));
-            let size = 30 << 20; // more than the system takes
-            let attempt = attempted(&upstreams(1), &listener, vec![0; size].into(), &state);
+fn partly_written_request_is_not_completed_once_abandoned() {
+    let cases = [(RequestState::Abandoned, false), (RequestState::Answered, true)];
+    for (new_state, completed) in cases {
+        run(async move {
+            let listener = listen().await;
+            let state = pending();
+            let size = 30 << 20; // more than the system's buffers hold
+            let attempt = start_attempt(&pool_of(1), &listener, vec![0; size].into(), &state);
             let (mut backend, _) = listener.accept().await.expect("the attempt");
             let mut buffer = vec![0; 1 << 16];
             let mut read = backend.read(&mut buffer).await.expect("the head");
-            state.set(to);
-            let answered = async {
+            state.set(new_state);
+            let served = async {
                 while read < size {
                     match backend.read(&mut buffer).await {
-                        Ok(n) if n > 0 => read += n,
+                        Ok(count) if count > 0 => read += count,
                         _ => return false,
                     }
                 }
                 backend.write_all(SERVED).await.is_ok()
             };
-            assert_eq!(answered.await, whole, "{to:?}: {read} bytes");
-            let outcome = if whole { Outcome::Served } else { Outcome::Withdrawn };
+            assert_eq!(served.await, completed, "{new_state:?}: {read} bytes");
+            let outcome = if completed { Outcome::Served } else { Outcome::Withdrawn };
             assert_eq!(attempt.await.expect("no panic"), Some(outcome));
         });
     }
 }
 
-/// A backend with one idle connection, and its end of that.
-async fn idle_at(
-    upstreams: &Rc<Upstreams>, listener: &TcpListener, state: &Rc<Cell<RequestState>>,
-) -> (Rc<Upstream>, tokio::net::TcpStream) {
-    let endpoint = Upstream::new(listener.local_addr().expect("its own"), 0.0);
-    upstreams.add(&endpoint);
-    let attempt = attempted_at(upstreams, &endpoint, Bytes::new(), state);
-    let mut idle = next(listener).await;
+/// An endpoint with one idle connection, and the backend's end of that.
+async fn idle_connection(
+    pool: &Rc<UpstreamPool>, listener: &TcpListener, state: &Rc<Cell<RequestState>>,
+) -> (Rc<UpstreamEndpoint>, TcpStream) {
+    let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("an address"), 0.0);
+    pool.add(&endpoint);
+    let attempt = start_attempt_at(pool, &endpoint, Bytes::new(), state);
+    let mut idle = accept_request(listener).await;
     idle.write_all(SERVED).await.expect("it reads");
     assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Served));
-    assert_eq!(endpoint.idle.borrow().len(), 1);
+    assert_eq!(endpoint.idle_connections(), 1);
     (endpoint, idle)
 }
 
+/// What a backend does to an idle connection; returns its end if that stays open.
+type IdleAction = fn(TcpStream) -> Option<TcpStream>;
+
+fn close(idle: TcpStream) -> Option<TcpStream> {
+    drop(idle);
+    None
+}
+
+fn send_unsolicited_response(idle: TcpStream) -> Option<TcpStream> {
+    idle.try_write(SERVED).expect("buffer space");
+    Some(idle)
+}
+
+fn send_partial_response(idle: TcpStream) -> Option<TcpStream> {
+    idle.try_write(b"HTT").expect("buffer space");
+    Some(idle)
+}
+
 #[test]
-fn an_idle_connection_that_ends_or_speaks_before_a_first_byte_is_written_gives_way_to_a_new_one() {
-    let deeds: [fn(tokio::net::TcpStream) -> Option<tokio::net::TcpStream>; 3] = [
-        |idle| {
-            drop(idle);
-            None
-        },
-        |idle| {
-            idle.try_write(SERVED).expect("room for it");
-            Some(idle)
-        },
-        |idle| {
-            idle.try_write(b"HTT").expect("room for it");
-            Some(idle)
-        },
-    ];
-    for deed in deeds {
-        played(async move {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let (upstreams, state) = (upstreams(8), Rc::new(Cell::new(RequestState::Pending)));
-            let (endpoint, idle) = idle_at(&upstreams, &listener, &state).await;
-            // The attempt has taken the connection before the backend does its deed, and the connection's own task
-            // is to write only after that: tasks run in the order in which they are woken.
-            let attempt = attempted_at(&upstreams, &endpoint, Bytes::new(), &state);
-            let done = tokio::task::spawn_local({
+fn idle_connection_that_ends_or_sends_before_the_first_byte_is_replaced() {
+    let actions: [IdleAction; 3] = [close, send_unsolicited_response, send_partial_response];
+    for action in actions {
+        run(async move {
+            let listener = listen().await;
+            let pool = pool_of(8);
+            let state = pending();
+            let (endpoint, idle) = idle_connection(&pool, &listener, &state).await;
+            // The attempt has taken the connection before the backend acts, and the connection's own task is to write
+            // only after that: tasks run in the order in which they are woken.
+            let attempt = start_attempt_at(&pool, &endpoint, Bytes::new(), &state);
+            let acted = tokio::task::spawn_local({
                 let endpoint = endpoint.clone();
                 async move {
-                    assert!(endpoint.idle.borrow().is_empty(), "it has been taken");
-                    deed(idle)
+                    assert_eq!(endpoint.idle_connections(), 0, "it has been taken");
+                    action(idle)
                 }
             });
-            let idle = done.await.expect("no panic");
-            let mut new = next(&listener).await;
-            new.write_all(AWAY).await.expect("it reads");
-            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Rejected), "the new one's answer");
+            let idle = acted.await.expect("no panic");
+            let mut new = accept_request(&listener).await;
+            new.write_all(REJECTED).await.expect("it reads");
+            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Rejected), "the new one's response");
             if let Some(mut idle) = idle {
-                assert!(!matches!(idle.read(&mut [0; 1]).await, Ok(1)), "nothing is written to the old one");
+                let read = idle.read(&mut [0; 1]).await;
+                assert!(!matches!(read, Ok(1)), "nothing is written to the old one");
             }
         });
     }
 }
 
 #[test]
-fn a_new_connection_that_has_ended_before_a_first_byte_is_written_has_run_nothing() {
-    played(async {
+fn new_connection_that_ends_before_the_first_byte_is_a_connect_failure() {
+    run(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (upstreams, state) = (upstreams(8), Rc::new(Cell::new(RequestState::Pending)));
-        let endpoint = Upstream::new(listener.local_addr().expect("its own"), 0.0);
-        let attempt = attempted_at(&upstreams, &endpoint, Bytes::new(), &state);
-        tokio::task::yield_now().await; // the attempt dials, and is told only after this that it is through
-        drop(listener.accept().expect("the attempt's"));
+        let pool = pool_of(8);
+        let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("an address"), 0.0);
+        let attempt = start_attempt_at(&pool, &endpoint, Bytes::new(), &pending());
+        tokio::task::yield_now().await; // the attempt dials, and is notified only after this that it is connected
+        drop(listener.accept().expect("the attempt's connection"));
         assert_eq!(attempt.await.expect("no panic"), Some(Outcome::ConnectFailed));
     });
 }
 
 #[test]
-fn a_client_that_leaves_while_its_request_waits_for_a_socket_is_not_sent_on() {
-    played(async {
-        let upstreams = upstreams(1);
-        let one = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let two = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let states = [RequestState::Pending, RequestState::Pending].map(|state| Rc::new(Cell::new(state)));
-        let first = attempted(&upstreams, &one, Bytes::new(), &states[0]);
-        let mut held = next(&one).await;
-        let second = attempted(&upstreams, &two, Bytes::new(), &states[1]);
-        while upstreams.waiting.get() == 0 {
-            tokio::task::yield_now().await;
-        }
-        states[1].set(RequestState::Abandoned);
-        held.write_all(SERVED).await.expect("it reads");
+fn request_abandoned_while_it_waits_for_a_socket_is_withdrawn() {
+    run(async {
+        let pool = pool_of(1);
+        let first_backend = listen().await;
+        let second_backend = listen().await;
+        let first_state = pending();
+        let second_state = pending();
+        let first = start_attempt(&pool, &first_backend, Bytes::new(), &first_state);
+        let mut first_stream = accept_request(&first_backend).await;
+        let second = start_attempt(&pool, &second_backend, Bytes::new(), &second_state);
+        wait_until_an_attempt_waits(&pool).await;
+        second_state.set(RequestState::Abandoned);
+        first_stream.write_all(SERVED).await.expect("it reads");
         assert_eq!(first.await.expect("no panic"), Some(Outcome::Served));
         assert_eq!(second.await.expect("no panic"), Some(Outcome::Withdrawn));
-        let (mut unused, _) = two.accept().await.expect("it came up all the same");
+        let (mut unused, _) = second_backend.accept().await.expect("it was opened all the same");
         assert_eq!(unused.read(&mut [0; 1]).await.expect("an end"), 0);
     });
 }
--- a/crates/proxy/src/upstream/tests/units.rs
+++ b/crates/proxy/src/upstream/tests/units.rs
@@ -9,140 +9,162 @@
 use leadrelay_core::Invariant;
 use tokio::time::Instant;
 
-use super::{outgoing, valid};
-use crate::upstream::endpoint::{Upstream, choose_idle};
-use crate::upstream::guard::{RequestState, SendGuard};
+use super::{list_valid_until, pending, upstream_request};
+use crate::upstream::endpoint::{UpstreamEndpoint, choose_idle};
+use crate::upstream::guard::SendGuard;
 use crate::upstream::headers::remove_hop_by_hop;
 use crate::upstream::keep_alive::KeepAlive;
-use crate::upstream::message::Outgoing;
+use crate::upstream::request::UpstreamRequest;
 use crate::upstream::request_progress::RequestProgress;
+use crate::upstream::request_state::RequestState;
 
-/// A guard of a request that is sent at once.
-fn guard(endpoint: &Rc<Upstream>, state: &Rc<Cell<RequestState>>, outgoing: Rc<Outgoing>) -> SendGuard {
-    SendGuard {
-        list_valid_until: valid(),
-        endpoint: endpoint.clone(),
-        state: state.clone(),
-        outgoing,
-        begin_by: None,
-        told_deadline: None,
-        prepared_at: Instant::now(),
-    }
+/// A request that has been started on a connection, and what its guard looks up.
+struct StartedRequest {
+    progress: RequestProgress,
+    endpoint: Rc<UpstreamEndpoint>,
+    state: Rc<Cell<RequestState>>,
 }
 
-fn started(body: usize) -> (RequestProgress, Rc<Upstream>, Rc<Cell<RequestState>>) {
-    let endpoint = Upstream::new("127.0.0.1:1".parse().expect("an address"), 0.0);
-    let state = Rc::new(Cell::new(RequestState::Pending));
-    let meter = RequestProgress::default();
-    let outgoing = outgoing(Bytes::new(), false);
-    meter.start(guard(&endpoint, &state, outgoing), body);
-    (meter, endpoint, state)
+impl StartedRequest {
+    fn new(body_length: usize) -> Self {
+        let started = StartedRequest {
+            progress: RequestProgress::default(),
+            endpoint: UpstreamEndpoint::new("127.0.0.1:1".parse().expect("an address"), 0.0),
+            state: pending(),
+        };
+        started.progress.start(started.guard(), body_length);
+        started
+    }
+
+    /// A guard of a request that is sent at once.
+    fn guard(&self) -> SendGuard {
+        self.guard_of(upstream_request(Bytes::new(), false))
+    }
+
+    fn guard_of(&self, request: Rc<UpstreamRequest>) -> SendGuard {
+        SendGuard {
+            list_valid_until: list_valid_until(),
+            availability: self.endpoint.availability().clone(),
+            state: self.state.clone(),
+            request,
+            start_by: None,
+            propagated_deadline: None,
+            prepared_at: Instant::now(),
+        }
+    }
+
+    /// Whether the next bytes are denied, and recorded as such.
+    fn is_denied(&self) -> bool {
+        !self.progress.may_write() && self.progress.was_withdrawn()
+    }
 }
 
 #[test]
-fn a_request_is_complete_with_its_last_byte_however_it_is_cut() {
+fn request_is_complete_with_its_last_byte_wherever_it_is_split() {
     let text = b"POST /x HTTP/1.1\r\nA: b\r\n\r\n\r\n\r\nbody";
-    for cut in 1..text.len() {
-        let (meter, ..) = started(8);
-        meter.record_written(&text[..cut]);
-        assert!(meter.begun.get() && !meter.complete(), "cut at {cut}");
-        meter.record_written(&text[cut..]);
-        assert!(meter.complete(), "cut at {cut}");
+    for split in 1..text.len() {
+        let progress = StartedRequest::new(8).progress;
+        progress.record_written(&text[..split]);
+        assert!(progress.has_started() && !progress.is_complete(), "split at {split}");
+        progress.record_written(&text[split..]);
+        assert!(progress.is_complete(), "split at {split}");
     }
 }
 
 #[test]
-fn the_first_byte_waits_for_an_open_backend_and_a_wanted_request() {
-    let (meter, endpoint, _) = started(0);
-    endpoint.set_open(false);
-    assert!(!meter.admit() && meter.denied.get());
+fn first_byte_needs_an_open_endpoint_and_a_pending_request() {
+    let closed = StartedRequest::new(0);
+    closed.endpoint.set_open(false);
+    assert!(closed.is_denied());
     for state in [RequestState::Answered, RequestState::Abandoned] {
-        let (meter, _, shared) = started(0);
-        shared.set(state);
-        assert!(!meter.admit());
+        let request = StartedRequest::new(0);
+        request.state.set(state);
+        assert!(!request.progress.may_write());
     }
-    let (meter, endpoint, _) = started(0);
-    assert!(meter.admit());
-    meter.record_written(b"G");
-    endpoint.set_open(false); // what has begun is finished
-    assert!(meter.admit());
-    assert!(!RequestProgress::default().admit(), "nothing is written between requests");
-    let (meter, endpoint, state) = started(0);
-    meter.start(guard(&endpoint, &state, outgoing(Bytes::new(), true)), 0);
-    assert!(!meter.admit() && meter.denied.get(), "its client has left");
+    let open = StartedRequest::new(0);
+    assert!(open.progress.may_write());
+    open.progress.record_written(b"G");
+    open.endpoint.set_open(false);
+    assert!(open.progress.may_write(), "what has started is finished");
+    assert!(!RequestProgress::default().may_write(), "nothing is written between requests");
+    let disconnected = StartedRequest::new(0);
+    let guard = disconnected.guard_of(upstream_request(Bytes::new(), true));
+    disconnected.progress.start(guard, 0);
+    assert!(disconnected.is_denied(), "its client has disconnected");
 }
 
 #[test]
-fn the_first_byte_goes_out_only_while_the_list_is_valid() {
-    let (meter, endpoint, state) = started(0);
-    let list_valid_until = valid();
-    let outgoing = outgoing(Bytes::new(), false);
-    let guard = guard(&endpoint, &state, outgoing);
-    meter.start(SendGuard { list_valid_until: list_valid_until.clone(), ..guard }, 0);
+fn first_byte_needs_a_valid_endpoint_list() {
+    let request = StartedRequest::new(0);
+    let list_valid_until = list_valid_until();
+    let guard = SendGuard { list_valid_until: list_valid_until.clone(), ..request.guard() };
+    request.progress.start(guard, 0);
     list_valid_until.set(Instant::now());
-    assert!(!meter.admit() && meter.denied.get());
+    assert!(request.is_denied());
     list_valid_until.set(Instant::now() + Duration::from_secs(3600));
-    assert!(meter.admit());
-    meter.record_written(b"G");
+    assert!(request.progress.may_write());
+    request.progress.record_written(b"G");
     list_valid_until.set(Instant::now());
-    assert!(meter.admit(), "what has begun is finished");
+    assert!(request.progress.may_write(), "what has started is finished");
 }
 
 #[test]
-fn what_a_first_byte_breaks_past_the_guard_is_counted() {
-    let (_, endpoint, state) = started(0);
-    let broken = |guard: &SendGuard| guard.violations().collect::<Vec<_>>();
-    let guard = |at: Instant, told: Duration| SendGuard {
-        prepared_at: at,
-        told_deadline: Some(at + told),
-        ..guard(&endpoint, &state, outgoing(Bytes::new(), false))
+fn first_byte_past_the_guard_is_counted_as_a_violation() {
+    let request = StartedRequest::new(0);
+    let violations = |guard: &SendGuard| guard.violations().collect::<Vec<_>>();
+    let guard = |prepared_at: Instant, timeout: Duration| SendGuard {
+        prepared_at,
+        propagated_deadline: Some(prepared_at + timeout),
+        ..request.guard()
     };
     let now = Instant::now();
-    assert_eq!(broken(&guard(now, Duration::from_secs(60))), []);
-    let late = now - Duration::from_millis(200);
-    assert_eq!(broken(&guard(late, Duration::from_secs(60))), [Invariant::DeadlinePropagated]);
-    assert_eq!(broken(&guard(late, Duration::from_millis(100))), [], "its time was over before");
-    endpoint.set_open(false);
-    assert_eq!(broken(&guard(now, Duration::from_secs(60))), [Invariant::BackendInService]);
-    endpoint.set_open(true);
-    state.set(RequestState::Answered);
-    assert_eq!(broken(&guard(now, Duration::from_secs(60))), [Invariant::RequestOpen]);
-    let repeat = SendGuard { begin_by: Some(now), ..guard(late, Duration::from_millis(100)) };
-    state.set(RequestState::Pending);
-    assert_eq!(broken(&repeat), [Invariant::RepeatAllowed]);
-    let in_time = SendGuard { prepared_at: now, ..repeat };
-    assert_eq!(broken(&in_time), [], "it was allowed just before");
-    state.set(RequestState::Answered);
-    let stale =
-        SendGuard { list_valid_until: Rc::new(Cell::new(now)), ..guard(late, Duration::from_millis(100)) };
-    assert_eq!(broken(&stale), [Invariant::ListCurrent]);
+    assert_eq!(violations(&guard(now, Duration::from_secs(60))), []);
+    let before_a_pause = now - Duration::from_millis(200);
+    let short_timeout = Duration::from_millis(100);
+    let late = guard(before_a_pause, Duration::from_secs(60));
+    assert_eq!(violations(&late), [Invariant::DeadlinePropagated]);
+    assert_eq!(violations(&guard(before_a_pause, short_timeout)), [], "its deadline passed before");
+    request.endpoint.set_open(false);
+    assert_eq!(violations(&guard(now, Duration::from_secs(60))), [Invariant::BackendInService]);
+    request.endpoint.set_open(true);
+    request.state.set(RequestState::Answered);
+    assert_eq!(violations(&guard(now, Duration::from_secs(60))), [Invariant::RequestOpen]);
+    let late_retry = SendGuard { start_by: Some(now), ..guard(before_a_pause, short_timeout) };
+    request.state.set(RequestState::Pending);
+    assert_eq!(violations(&late_retry), [Invariant::RepeatAllowed]);
+    let retry_in_time = SendGuard { prepared_at: now, ..late_retry };
+    assert_eq!(violations(&retry_in_time), [], "it was allowed just before");
+    request.state.set(RequestState::Answered);
+    let stale_list =
+        SendGuard { list_valid_until: Rc::new(Cell::new(now)), ..guard(before_a_pause, short_timeout) };
+    assert_eq!(violations(&stale_list), [Invariant::ListCurrent]);
 }
 
 #[test]
-fn headers_of_one_connection_go_no_further() {
+fn hop_by_hop_headers_are_removed() {
     let mut headers = HeaderMap::new();
-    for (name, value) in [("connection", "x-own, close"), ("x-own", "1"), ("x-kept", "2"), ("te", "trailers")]
-    {
-        headers.insert(name, HeaderValue::from_static(value));
-    }
+    headers.insert("connection", HeaderValue::from_static("x-own, close"));
+    headers.insert("x-own", HeaderValue::from_static("1"));
+    headers.insert("x-kept", HeaderValue::from_static("2"));
+    headers.insert("te", HeaderValue::from_static("trailers"));
     remove_hop_by_hop(&mut headers);
     assert_eq!(headers.len(), 1);
     assert!(headers.contains_key("x-kept"));
 }
 
 #[test]
-fn a_full_queue_is_no_lack_of_connections() {
-    let keep = KeepAlive::new(Duration::from_secs(40));
+fn keep_alive_is_not_shortened_if_reused_connections_are_rejected_too() {
+    let keep_alive = KeepAlive::new(Duration::from_secs(40));
     for _ in 0..100 {
-        keep.record(false, true);
-        keep.record(true, true);
+        keep_alive.record(false, true);
+        keep_alive.record(true, true);
     }
-    assert_eq!(keep.span(), Duration::from_secs(40));
+    assert_eq!(keep_alive.timeout(), Duration::from_secs(40));
 }
 
 #[test]
-fn the_connection_used_last_rests_while_there_is_another() {
-    let chosen = |stood: &[u64]| choose_idle(stood.iter().map(|ms| Duration::from_millis(*ms)));
+fn connection_used_last_is_not_reused_at_once_while_there_is_another() {
+    let chosen = |idle_ms: &[u64]| choose_idle(idle_ms.iter().map(|ms| Duration::from_millis(*ms)));
     assert_eq!(chosen(&[]), None);
     assert_eq!(chosen(&[5]), Some(0));
     assert_eq!(chosen(&[900, 400, 30]), Some(2));
