--- a/crates/proxy/benches/request.rs
+++ b/crates/proxy/benches/request.rs
@@ -1,9 +1,9 @@
-//! What one request costs: a client asks on one kept connection and waits for its answer, through a proxy in this
-//! process, of a backend that answers at once. Compare what the log costs: nobody listens, all but the access events,
-//! and an access event a request.
+//! What one request costs: a client sends requests on one connection and waits for each response, through a proxy in
+//! this process, from a backend that responds at once. Compares what the log costs: no subscriber, a subscriber without
+//! access events, and an access event for some requests or for each.
 
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
 use criterion::{Criterion, criterion_group, criterion_main};
@@ -11,64 +11,82 @@
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
 
-/// Reads one message with a told length.
-fn read(stream: &mut BufReader<TcpStream>, line: &mut String) -> bool {
-    let mut length = 0;
-    loop {
-        line.clear();
-        if stream.read_line(line).unwrap_or(0) == 0 {
-            return false;
-        }
-        if line == "\r\n" {
-            break;
-        }
-        if let Some(told) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-            length = told.trim().parse().expect("a length");
+const REQUEST: &[u8] = b"GET /page HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n";
+const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+
+/// One end of a connection, which reads messages with a content length.
+struct MessageStream {
+    stream: BufReader<TcpStream>,
+    line: String,
+}
+
+impl MessageStream {
+    fn new(stream: TcpStream) -> Self {
+        stream.set_nodelay(true).expect("a socket");
+        MessageStream { stream: BufReader::new(stream), line: String::new() }
+    }
+
+    /// Reads one message; returns false at the end of the stream.
+    fn read(&mut self) -> bool {
+        let mut length = 0;
+        loop {
+            self.line.clear();
+            if self.stream.read_line(&mut self.line).unwrap_or(0) == 0 {
+                return false;
+            }
+            if self.line == "\r\n" {
+                break;
+            }
+            if let Some(value) = self.line.to_ascii_lowercase().strip_prefix("content-length:") {
+                length = value.trim().parse().expect("a length");
+            }
         }
+        self.stream.read_exact(&mut vec![0; length]).is_ok()
+    }
+
+    fn write(&mut self, message: &[u8]) -> std::io::Result<()> {
+        self.stream.get_mut().write_all(message)
     }
-    stream.read_exact(&mut vec![0; length]).is_ok()
 }
 
-/// A backend that answers each request at once.
-fn backend() -> std::net::SocketAddr {
+/// Starts a backend that responds to each request at once.
+fn spawn_backend() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            thread::spawn(move || {
-                stream.set_nodelay(true).expect("a socket");
-                let (mut stream, mut line) = (BufReader::new(stream), String::new());
-                while read(&mut stream, &mut line) {
-                    let _ = stream.get_mut().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-                }
-            });
+            thread::spawn(move || serve_backend(MessageStream::new(stream)));
         }
     });
     address
 }
 
-fn proxy(access: f64) -> Running {
+fn serve_backend(mut stream: MessageStream) {
+    while stream.read() {
+        let _ = stream.write(RESPONSE);
+    }
+}
+
+fn spawn_proxy(access_rate: f64) -> Running {
+    let backend = spawn_backend();
     let text = format!(
-        "listen = \"127.0.0.1:0\"\n[[backends]]\naddress = \"{}\"\n[logging]\naccess = {access}\n",
-        backend()
+        "listen = \"127.0.0.1:0\"\n[[backends]]\naddress = \"{backend}\"\n[logging]\naccess = {access_rate}\n",
     );
-    spawn(config::parse(&text, "bench").expect("good")).expect("it starts")
+    spawn(config::parse(&text, "bench").expect("a valid configuration")).expect("it starts")
 }
 
-fn ask(stream: &mut BufReader<TcpStream>, line: &mut String) {
-    let request = b"GET /page HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n";
-    stream.get_mut().write_all(request).expect("it reads");
-    assert!(read(stream, line), "an answer");
+fn send_request(stream: &mut MessageStream) {
+    stream.write(REQUEST).expect("it reads");
+    assert!(stream.read(), "a response");
 }
 
-fn request(c: &mut Criterion) {
-    let mut group = c.benchmark_group("request");
-    let mut run = |name: &str, access: f64| {
-        let proxy = proxy(access);
+fn benchmark_request(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("request");
+    let mut run = |name: &str, access_rate: f64| {
+        let proxy = spawn_proxy(access_rate);
         let stream = TcpStream::connect(proxy.addresses.clients).expect("it accepts");
-        stream.set_nodelay(true).expect("a socket");
-        let (mut stream, mut line) = (BufReader::new(stream), String::new());
-        group.bench_function(name, |b| b.iter(|| ask(&mut stream, &mut line)));
+        let mut stream = MessageStream::new(stream);
+        group.bench_function(name, |bencher| bencher.iter(|| send_request(&mut stream)));
         drop(stream);
         proxy.stop().expect("it ran");
     };
@@ -82,5 +100,5 @@
     run("subscriber, an access event a request", 1.0);
 }
 
-criterion_group!(benches, request);
+criterion_group!(benches, benchmark_request);
 criterion_main!(benches);
--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -5,23 +5,23 @@
 pub enum ClientClose {
     /// The client closed it, or it broke.
     ByClient,
-    /// With an answer, as that said.
-    WithAnswer,
-    /// To make room for others.
+    /// With a response that announced it.
+    WithResponse,
+    /// Its socket was needed for another one.
     Evicted,
     /// It was idle for too long.
     Idle,
-    /// The operators have drained the proxy.
+    /// It was idle while the operators drain the proxy.
     Drained,
-    /// The process ends.
+    /// The process shuts down.
     Shutdown,
-    /// Its request did not come to an end.
+    /// Its request was not complete in time.
     RequestTimeout,
-    /// It took nothing of its answer.
+    /// It took nothing of its streamed response.
     WriteTimeout,
-    /// Asked to close, it did not in time.
+    /// It was asked to close and did not in time.
     CloseTimeout,
-    /// What it sent is no HTTP.
+    /// What it sent is not HTTP.
     Malformed,
 }
 
@@ -29,7 +29,7 @@
     /// All of them.
     pub const ALL: [ClientClose; 10] = [
         ClientClose::ByClient,
-        ClientClose::WithAnswer,
+        ClientClose::WithResponse,
         ClientClose::Evicted,
         ClientClose::Idle,
         ClientClose::Drained,
@@ -40,11 +40,11 @@
         ClientClose::Malformed,
     ];
 
-    /// Its name in figures and logs.
+    /// Its name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             ClientClose::ByClient => "by_client",
-            ClientClose::WithAnswer => "with_answer",
+            ClientClose::WithResponse => "with_answer",
             ClientClose::Evicted => "evicted",
             ClientClose::Idle => "idle",
             ClientClose::Drained => "drained",
@@ -60,18 +60,18 @@
 /// Why a connection to a backend was closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum BackendClose {
-    /// Its attempt was given up, or broke.
+    /// Its attempt was abandoned, or broke.
     #[default]
     AttemptEnded,
-    /// Its answer or its backend does not let it be used again.
+    /// Its response or its backend does not allow its reuse.
     NotReusable,
     /// It was idle for too long.
     Idle,
-    /// Its backend closed it, or sent something unasked.
+    /// Its backend closed it, or sent unsolicited bytes.
     ByBackend,
-    /// Its socket was needed elsewhere.
+    /// Its socket was needed for another one.
     Evicted,
-    /// Its backend takes nothing more.
+    /// Its backend accepts no new requests.
     OutOfService,
 }
 
@@ -86,7 +86,7 @@
         BackendClose::OutOfService,
     ];
 
-    /// Its name in figures and logs.
+    /// Its name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             BackendClose::AttemptEnded => "attempt_ended",
--- a/crates/proxy/src/driver/live.rs
+++ b/crates/proxy/src/driver/live.rs
@@ -190,7 +190,7 @@
             "an attempt begins"
         );
         if let Some(access_record) = &live.access_record {
-            access_record.sent(backend, self.backends.name(backend));
+            access_record.record_attempt(backend, self.backends.name(backend));
         }
         live.attempts_out += 1;
         self.tally.sends += 1;
--- /dev/null
+++ b/crates/proxy/src/frontend/admission.rs
@@ -0,0 +1,67 @@
+//! Decides by its head whether a request is accepted.
+
+use hyper::Request;
+use hyper::body::{Body as _, Incoming};
+use hyper::header;
+use hyper::http::request;
+
+use super::Frontend;
+use super::received::ReceivedHead;
+use crate::body_stream::MAX_BODY_BYTES;
+use crate::head::{self, RequestMeta};
+use crate::open_ids::OpenId;
+use crate::rejection::Rejection;
+
+/// The header whose absence in the raw head of a chunked request proves that its length is given once.
+const CONTENT_LENGTH: &[u8] = b"content-length";
+
+/// A request that is accepted, by its head.
+pub(super) struct AcceptedHead {
+    pub(super) meta: RequestMeta,
+    /// Reserves its id, unless another open request has the same.
+    pub(super) open_id: Option<OpenId>,
+    pub(super) head: request::Parts,
+    pub(super) body: Incoming,
+}
+
+impl Frontend {
+    /// Accepts or rejects a request by its head.
+    pub(super) fn admit(&self, received: ReceivedHead) -> Result<AcceptedHead, Rejection> {
+        let ReceivedHead { request, raw_head, .. } = received;
+        let meta = self.read_head(&request)?;
+        let (head, body) = request.into_parts();
+        // Hyper shows only one of two lengths, and one of them lies or hides a second request.
+        let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
+        if is_chunked && raw_head.is_none_or(|raw_head| has_content_length(&raw_head)) {
+            return Err(Rejection::AmbiguousLength);
+        }
+        if body.size_hint().lower() > MAX_BODY_BYTES {
+            return Err(Rejection::BodyTooLarge);
+        }
+        let open_id = self.open_ids.reserve(&meta.id);
+        if meta.requires_unique_id && open_id.is_none() {
+            return Err(Rejection::IdInUse);
+        }
+        Ok(AcceptedHead { meta, open_id, head, body })
+    }
+
+    /// Reads a request's head.
+    pub(super) fn read_head(&self, request: &Request<Incoming>) -> Result<RequestMeta, Rejection> {
+        let number = self.next_number.get();
+        head::read(&self.classes.borrow(), request.method(), request.uri(), request.headers(), number)
+    }
+}
+
+/// Whether a raw head has a content length.
+fn has_content_length(raw_head: &[u8]) -> bool {
+    raw_head
+        .trim_ascii_start()
+        .split(|byte| *byte == b'\n')
+        .map(|line| line.strip_suffix(b"\r").unwrap_or(line))
+        .take_while(|line| !line.is_empty())
+        .any(is_content_length)
+}
+
+fn is_content_length(line: &[u8]) -> bool {
+    line.get(..CONTENT_LENGTH.len()).is_some_and(|name| name.eq_ignore_ascii_case(CONTENT_LENGTH))
+}
--- a/crates/proxy/src/frontend/client.rs
+++ b/crates/proxy/src/frontend/client.rs
@@ -35,26 +35,26 @@
 pub(super) struct Client {
     pub(super) stream: Rc<TcpStream>,
     pub(super) stage: Cell<Stage>,
-    /// Its place among the connections of its stage, oldest first.
-    pub(super) ticket: Cell<u64>,
+    /// Its position among the connections of its stage, oldest first.
+    pub(super) stage_order: Cell<u64>,
     pub(super) stage_since: Cell<Instant>,
     /// When its next request has to be complete.
-    pub(super) request_due: Cell<Instant>,
+    pub(super) request_deadline: Cell<Instant>,
     pub(super) accepted_at: Instant,
     pub(super) address: IpAddr,
     /// The earliest time at which it may have entered the accept queue.
     pub(super) queued_since: Instant,
     /// No request has been read on it yet.
-    pub(super) first_request: Cell<bool>,
+    pub(super) awaits_first_request: Cell<bool>,
     /// When bytes were last read from it.
     pub(super) last_read: Cell<Instant>,
     /// The client has closed its sending side.
     pub(super) read_closed: Cell<bool>,
     /// The raw bytes of the head being read.
     pub(super) raw_head: RefCell<Vec<u8>>,
-    /// An answer is being streamed to it.
+    /// A response is being streamed to it.
     pub(super) streaming: Cell<bool>,
-    /// When it last took bytes of a streamed answer.
+    /// When it last took bytes of a streamed response.
     pub(super) last_write: Cell<Instant>,
     /// Asks the connection's task to close it.
     close: Notify,
@@ -64,7 +64,7 @@
 
 /// The client has disconnected before its request was answered.
 #[derive(Debug, thiserror::Error)]
-#[error("the client has left")]
+#[error("client disconnected")]
 pub(super) struct ClientDisconnected;
 
 impl Client {
@@ -74,13 +74,13 @@
         Client {
             stream: Rc::new(stream),
             stage: Cell::new(Stage::InFlight),
-            ticket: Cell::new(0),
+            stage_order: Cell::new(0),
             stage_since: Cell::new(now),
-            request_due: Cell::new(now + REQUEST_TIMEOUT),
+            request_deadline: Cell::new(now + REQUEST_TIMEOUT),
             accepted_at: now,
             address,
             queued_since,
-            first_request: Cell::new(true),
+            awaits_first_request: Cell::new(true),
             last_read: Cell::new(now),
             read_closed: Cell::new(false),
             raw_head: RefCell::default(),
@@ -91,19 +91,26 @@
         }
     }
 
+    /// Records that it enters a stage now.
+    pub(super) fn enter_stage(&self, stage: Stage, order: u64) {
+        self.stage_order.set(order);
+        self.stage.set(stage);
+        self.stage_since.set(Instant::now());
+    }
+
     /// Asks the connection's task to close it.
-    pub(super) fn ask_to_close(&self, reason: ClientClose) {
-        self.note_close(reason);
+    pub(super) fn request_close(&self, reason: ClientClose) {
+        self.record_close_reason(reason);
         self.close.notify_one();
     }
 
     /// Returns once the connection has been asked to close.
-    pub(super) async fn asked_to_close(&self) {
+    pub(super) async fn close_requested(&self) {
         self.close.notified().await;
     }
 
-    /// Notes why the connection is closed, unless that is known.
-    pub(super) fn note_close(&self, reason: ClientClose) {
+    /// Records why the connection is closed, unless that is known.
+    pub(super) fn record_close_reason(&self, reason: ClientClose) {
         self.close_reason.set(self.close_reason.get().or(Some(reason)));
     }
 
@@ -123,11 +130,11 @@
         }
     }
 
-    /// Whether that has happened, by what the runtime knows or the socket itself says now. An end behind unread bytes
-    /// is known only once the runtime is told.
+    /// Whether the client has disconnected, by what the runtime knows or the socket itself says now. An end behind
+    /// unread bytes is known only once the runtime is notified.
     pub(super) fn has_disconnected(&self) -> bool {
         let disconnected = pin!(unconstrained(self.disconnected()));
-        let told = disconnected.poll(&mut Context::from_waker(Waker::noop())).is_ready();
-        told || has_ended(&self.stream)
+        let runtime_knows = disconnected.poll(&mut Context::from_waker(Waker::noop())).is_ready();
+        runtime_knows || has_ended(&self.stream)
     }
 }
--- a/crates/proxy/src/frontend/client_socket.rs
+++ b/crates/proxy/src/frontend/client_socket.rs
@@ -9,10 +9,10 @@
 use tokio::time::Instant;
 
 use super::client::{Client, Stage};
-use super::{Frontend, MAX_HEAD_SIZE, REQUEST_TIMEOUT};
+use super::{Frontend, MAX_HEAD_BYTES, REQUEST_TIMEOUT};
 use crate::socket::{half_close, poll_read, poll_write};
 
-/// A client's socket. It notes when a head begins to arrive, its raw bytes, and when the client has closed its
+/// A client's socket. It records when a head starts to arrive, its raw bytes, and when the client has closed its
 /// sending side.
 pub(super) struct ClientSocket {
     pub(super) client: Rc<Client>,
@@ -28,18 +28,27 @@
         }
         let stage = client.stage.get();
         if matches!(stage, Stage::New | Stage::Idle) {
-            client.raw_head.borrow_mut().clear();
-            if stage == Stage::Idle {
-                client.request_due.set(Instant::now() + REQUEST_TIMEOUT);
-            }
-            self.frontend.set_stage(client, Stage::ReadingHead);
+            self.start_head(stage);
         }
         if client.stage.get() == Stage::ReadingHead {
-            let mut raw_head = client.raw_head.borrow_mut();
-            let room = (MAX_HEAD_SIZE + 1).saturating_sub(raw_head.len()); // hyper accepts no longer one
-            raw_head.extend_from_slice(&bytes[..bytes.len().min(room)]);
+            self.append_to_head(bytes);
         }
     }
+
+    /// A head starts to arrive in this stage.
+    fn start_head(&self, stage: Stage) {
+        self.client.raw_head.borrow_mut().clear();
+        if stage == Stage::Idle {
+            self.client.request_deadline.set(Instant::now() + REQUEST_TIMEOUT);
+        }
+        self.frontend.set_stage(&self.client, Stage::ReadingHead);
+    }
+
+    fn append_to_head(&self, bytes: &[u8]) {
+        let mut raw_head = self.client.raw_head.borrow_mut();
+        let capacity = (MAX_HEAD_BYTES + 1).saturating_sub(raw_head.len()); // hyper accepts no longer one
+        raw_head.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
+    }
 }
 
 impl AsyncRead for ClientSocket {
--- a/crates/proxy/src/frontend/connection.rs
+++ b/crates/proxy/src/frontend/connection.rs
@@ -1,94 +1,88 @@
 //! One connection of a client, from its first byte to its end.
 
+use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
 
-use hyper::body::Incoming;
-use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
-use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use tokio::net::TcpStream;
-use tokio::time::{Instant, sleep_until, timeout};
+use tokio::time::{Instant, sleep_until};
 use tracing::info;
 
-use super::client::{Client, ClientDisconnected, Stage};
+use super::client::{Client, Stage};
 use super::client_socket::ClientSocket;
-use super::request::Received;
-use super::response::text_response;
-use super::stages::GRACE;
-use super::{Frontend, MAX_HEAD_SIZE, REQUEST_TIMEOUT};
-use crate::cause::Cause;
+use super::linger::reject_incomplete;
+use super::{Frontend, MAX_HEAD_BYTES};
 use crate::close_reason::ClientClose;
-use crate::socket::{half_close, is_transient};
-use crate::upstream::MessageBody;
 
-/// A client that takes nothing of a streamed answer for this span is disconnected.
+/// A client that takes nothing of a streamed response for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// A connection asked to close that neither reads nor writes for this span is cut.
+/// A connection asked to close is cut after this time, unless a request is in flight.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// After a rejection the client may still be sending, and a close would reset the connection before it has read the
-/// answer. What it sends is read and dropped for this span,
-const LINGER_TIME: Duration = Duration::from_millis(1500);
-/// and up to this many bytes.
-const LINGER_BYTES: usize = 72 << 20;
+
+/// What a connection's task waits for.
+enum ConnectionEvent {
+    /// Hyper has ended the connection.
+    Ended(hyper::Result<()>),
+    /// The connection has been asked to close.
+    CloseRequested,
+    /// The client may take nothing of its streamed response.
+    WriteTimedOut,
+    /// The connection was asked to close and has not.
+    CloseTimedOut,
+}
 
 /// How a connection that has been asked to close does so.
-enum Close {
-    AtOnce,
+enum CloseMode {
+    Immediate,
     /// Its incomplete request has been rejected, and the client may still be sending.
     Linger,
-    /// With the answer to its current request, if there is one.
-    Gracefully,
+    /// With the response to its current request, if there is one.
+    Graceful,
 }
 
 impl Frontend {
     /// Serves a connection until it has ended or has to.
     pub(super) async fn serve_connection(self: &Rc<Self>, client: &Rc<Client>) {
         let service = service_fn(|request| {
-            let (frontend, client) = (self.clone(), client.clone());
+            let frontend = self.clone();
+            let client = client.clone();
             async move { frontend.handle(request, &client).await }
         });
         let socket = ClientSocket { client: client.clone(), frontend: self.clone() };
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(None)
-            .max_buf_size(MAX_HEAD_SIZE)
+            .max_buf_size(MAX_HEAD_BYTES)
             .serve_connection(TokioIo::new(socket), service);
         tokio::pin!(connection);
-        let mut cut_at = None;
+        let mut close_deadline = None;
         loop {
-            tokio::select! {
-                biased; // what has arrived counts before a wish to close
-                end = connection.as_mut() => {
-                    client.note_close(end_of(&end));
+            match next_event(client, connection.as_mut(), close_deadline).await {
+                ConnectionEvent::Ended(result) => {
+                    client.record_close_reason(close_reason(&result));
                     break;
                 }
-                () = client.asked_to_close() => match client.begin_close() {
-                    Close::AtOnce => return,
-                    Close::Linger => break,
-                    Close::Gracefully => {
+                ConnectionEvent::CloseRequested => match client.begin_close() {
+                    CloseMode::Immediate => return,
+                    CloseMode::Linger => break,
+                    CloseMode::Graceful => {
                         connection.as_mut().graceful_shutdown();
-                        cut_at = cut_at.or(Some(Instant::now() + CLOSE_TIMEOUT));
+                        close_deadline = close_deadline.or(Some(Instant::now() + CLOSE_TIMEOUT));
                     }
                 },
-                // A streamed answer that nobody reads would hold its backend's connection for ever.
-                () = sleep_until(client.last_write.get() + WRITE_TIMEOUT), if client.streaming.get() => {
-                    if client.is_write_stalled() {
-                        info!(client = %client.address, "a client takes nothing of its answer");
-                        client.note_close(ClientClose::WriteTimeout);
-                        return;
-                    }
+                ConnectionEvent::WriteTimedOut if client.is_write_stalled() => {
+                    info!(client = %client.address, "client write timed out");
+                    client.record_close_reason(ClientClose::WriteTimeout);
+                    return;
                 }
-                // An answer that nobody reads would hold its socket for ever.
-                () = sleep_until(cut_at.unwrap_or_else(Instant::now)), if cut_at.is_some() => {
-                    if client.stage.get() != Stage::InFlight {
-                        client.note_close(ClientClose::CloseTimeout);
-                        return;
-                    }
-                    cut_at = Some(Instant::now() + CLOSE_TIMEOUT);
+                ConnectionEvent::WriteTimedOut => {}
+                ConnectionEvent::CloseTimedOut if client.stage.get() != Stage::InFlight => {
+                    client.record_close_reason(ClientClose::CloseTimeout);
+                    return;
                 }
+                ConnectionEvent::CloseTimedOut => close_deadline = Some(Instant::now() + CLOSE_TIMEOUT),
             }
         }
         // Hyper has answered malformed requests; a client that has closed its side needs nothing.
@@ -96,83 +90,49 @@
             self.linger(client).await;
         }
     }
+}
 
-    /// Handles one request that hyper has read the head of.
-    async fn handle(
-        self: &Rc<Self>, request: Request<Incoming>, client: &Rc<Client>,
-    ) -> Result<Response<MessageBody>, ClientDisconnected> {
-        let received = client.received(request);
-        self.set_stage(client, Stage::InFlight);
-        let overloaded = self.in_flight.get() > self.budget.max_in_flight();
-        let mut response = if overloaded {
-            self.reject_overloaded(&received)
-        } else {
-            self.respond(received, client).await.inspect_err(|_| client.read_closed.set(true))?
-        };
-        // After a malformed request nobody knows where the next one would begin.
-        if overloaded || self.draining() || response.status().is_client_error() {
-            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
-        } else if !client.streaming.get() {
-            self.set_stage(client, Stage::Idle);
-        }
-        Ok(response)
-    }
-
-    /// Rejects a request because too many are in flight. It is counted if its head is valid.
-    fn reject_overloaded(&self, received: &Received) -> Response<MessageBody> {
-        if let Ok(meta) = self.check(&received.request) {
-            self.count_request(&meta, received.arrived_at).end(Cause::RefusedBusy);
+/// Runs a connection until something else has to be done about it.
+async fn next_event(
+    client: &Client, connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
+    close_deadline: Option<Instant>,
+) -> ConnectionEvent {
+    tokio::select! {
+        biased; // what has arrived counts before a wish to close
+        result = connection => ConnectionEvent::Ended(result),
+        () = client.close_requested() => ConnectionEvent::CloseRequested,
+        // A streamed response that nobody reads would hold its backend's connection for ever.
+        () = sleep_until(client.last_write.get() + WRITE_TIMEOUT), if client.streaming.get() => {
+            ConnectionEvent::WriteTimedOut
         }
-        text_response(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
-    }
-
-    /// Reads and drops what the client still sends, within bounds.
-    async fn linger(&self, client: &Rc<Client>) {
-        self.set_stage(client, Stage::Lingering);
-        tokio::select! {
-            _ = timeout(LINGER_TIME, discard_input(&client.stream)) => {}
-            () = client.asked_to_close() => {}
+        // A response that nobody reads would hold its socket for ever.
+        () = sleep_until(close_deadline.unwrap_or_else(Instant::now)), if close_deadline.is_some() => {
+            ConnectionEvent::CloseTimedOut
         }
     }
 }
 
 /// Why hyper has ended a connection.
-fn end_of(end: &hyper::Result<()>) -> ClientClose {
-    match end {
-        Ok(()) => ClientClose::WithAnswer,
+fn close_reason(result: &hyper::Result<()>) -> ClientClose {
+    match result {
+        Ok(()) => ClientClose::WithResponse,
         Err(error) if error.is_parse() => ClientClose::Malformed,
         Err(_) => ClientClose::ByClient,
     }
 }
 
 impl Client {
-    /// A request of which hyper has read the head, with what else is known of the head.
-    fn received(&self, request: Request<Incoming>) -> Received {
-        // A pipelined head arrived with the previous request, so its raw bytes have not been seen apart.
-        let pipelined = self.stage.get() == Stage::Idle;
-        if pipelined {
-            self.request_due.set(Instant::now() + REQUEST_TIMEOUT);
-        }
-        let raw_head = (!pipelined).then(|| self.raw_head.take());
-        // One that was read behind another has been there since.
-        let read_at = if pipelined { self.last_read.get() } else { Instant::now() };
-        // What arrived while its connection was in the accept queue is as old as that.
-        let came_first = self.first_request.replace(false) || pipelined;
-        let was_queued = came_first && read_at - self.accepted_at < GRACE;
-        let arrived_at = if was_queued { self.queued_since } else { read_at };
-        Received { request, arrived_at, raw_head }
-    }
-
     /// Begins to close the connection, as its stage allows.
-    fn begin_close(&self) -> Close {
+    fn begin_close(&self) -> CloseMode {
         match self.stage.get() {
-            Stage::New => Close::AtOnce,
-            // Its last byte may have been written, and then an answer is owed.
+            Stage::New => CloseMode::Immediate,
+            // Its last byte may have been written, and then a response is owed.
             Stage::ReadingHead => {
-                reject_incomplete(&self.stream, self.request_due.get() <= Instant::now());
-                Close::Linger
+                let overdue = self.request_deadline.get() <= Instant::now();
+                reject_incomplete(&self.stream, overdue);
+                CloseMode::Linger
             }
-            Stage::Lingering | Stage::Idle | Stage::InFlight => Close::Gracefully,
+            Stage::Lingering | Stage::Idle | Stage::InFlight => CloseMode::Graceful,
         }
     }
 
@@ -180,28 +140,3 @@
         self.streaming.get() && self.last_write.get().elapsed() >= WRITE_TIMEOUT
     }
 }
-
-/// Answers a request that is incomplete and is waited for no longer, as far as the client takes the answer at once.
-/// The request has been sent to no backend.
-fn reject_incomplete(stream: &TcpStream, overdue: bool) {
-    let status = if overdue { StatusCode::REQUEST_TIMEOUT } else { StatusCode::SERVICE_UNAVAILABLE };
-    let answer = format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    let _ = stream.try_write(answer.as_bytes()); // a client that has gone needs none
-}
-
-/// Closes the sending side and reads on until the client closes its own, or has sent too much.
-async fn discard_input(stream: &TcpStream) {
-    if half_close(stream).is_err() {
-        return;
-    }
-    let mut buffer = vec![0; MAX_HEAD_SIZE];
-    let mut remaining = LINGER_BYTES;
-    while remaining > 0 && stream.readable().await.is_ok() {
-        match stream.try_read(&mut buffer) {
-            Ok(0) => return,
-            Ok(read) => remaining = remaining.saturating_sub(read),
-            Err(error) if is_transient(&error) => {}
-            Err(_) => return,
-        }
-    }
-}
--- /dev/null
+++ b/crates/proxy/src/frontend/linger.rs
@@ -0,0 +1,56 @@
+//! The end of a connection whose client may still be sending.
+//!
+//! A close would reset the connection before the client has read its response, so what it sends is read and dropped
+//! for a while.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use hyper::StatusCode;
+use tokio::net::TcpStream;
+use tokio::time::timeout;
+
+use super::client::{Client, Stage};
+use super::{Frontend, MAX_HEAD_BYTES};
+use crate::socket::{half_close, is_transient};
+
+/// What a client still sends is read for this long,
+const MAX_LINGER_TIME: Duration = Duration::from_millis(1500);
+/// and up to this many bytes.
+const MAX_LINGER_BYTES: usize = 72 << 20;
+
+impl Frontend {
+    /// Reads and drops what the client still sends, within bounds.
+    pub(super) async fn linger(&self, client: &Rc<Client>) {
+        self.set_stage(client, Stage::Lingering);
+        tokio::select! {
+            _ = timeout(MAX_LINGER_TIME, discard_input(&client.stream)) => {}
+            () = client.close_requested() => {}
+        }
+    }
+}
+
+/// Rejects a request that is incomplete and is waited for no longer, as far as the client takes the response at once.
+/// The request has been sent to no backend.
+pub(super) fn reject_incomplete(stream: &TcpStream, overdue: bool) {
+    let status = if overdue { StatusCode::REQUEST_TIMEOUT } else { StatusCode::SERVICE_UNAVAILABLE };
+    let response = format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+    let _ = stream.try_write(response.as_bytes()); // a client that has disconnected needs none
+}
+
+/// Closes the sending side and reads on until the client closes its own, or has sent too much.
+async fn discard_input(stream: &TcpStream) {
+    if half_close(stream).is_err() {
+        return;
+    }
+    let mut buffer = vec![0; MAX_HEAD_BYTES];
+    let mut remaining = MAX_LINGER_BYTES;
+    while remaining > 0 && stream.readable().await.is_ok() {
+        match stream.try_read(&mut buffer) {
+            Ok(0) => return,
+            Ok(read) => remaining = remaining.saturating_sub(read),
+            Err(error) if is_transient(&error) => {}
+            Err(_) => return,
+        }
+    }
+}
--- a/crates/proxy/src/frontend/listener.rs
+++ b/crates/proxy/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections within the budget of sockets.
+//! Accepts connections within the limit on sockets.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -10,15 +10,18 @@
 use tracing::{debug, warn};
 
 use super::Frontend;
-use super::budget::BACKEND_SHARE;
 use super::client::{Client, Stage};
+use super::connection_table::EvictionAge;
 
 /// Length of the accept queue.
 const BACKLOG: u32 = 1024;
-/// If no connection can be evicted, new ones wait in the accept queue for this long, then they are turned away.
+/// If no connection can be evicted, new ones wait in the accept queue for this long, then they are rejected.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(100);
 /// Wait after a failed accept, so that the loop does not spin, and for an evicted connection to close.
-const PAUSE: Duration = Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// From this part of the limit on, as a fraction, one connection is evicted for each that is accepted.
+const EVICTION_NUMERATOR: usize = 7;
+const EVICTION_DENOMINATOR: usize = 8;
 
 /// Listens on the address for clients.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -29,49 +32,47 @@
 }
 
 impl Frontend {
-    /// Accepts one connection and serves it in a task of its own. At the limit it makes room instead.
+    /// Accepts one connection and serves it in a task of its own. At the limit it evicts or rejects one instead.
     pub(super) async fn accept(self: Rc<Self>, listener: &TcpListener) {
-        let limit = self.max_connections();
-        if self.connections.get() >= limit {
-            return self.make_room(listener).await;
+        let limit = self.limits.max_clients(self.upstreams.in_use());
+        if self.connections.open() >= limit {
+            return self.accept_at_limit(listener).await;
         }
         match self.next_connection(listener).await {
             Ok((stream, address)) => {
-                if self.connections.get() >= limit * 7 / 8 {
-                    self.evict_one(false);
+                if self.connections.open() >= limit * EVICTION_NUMERATOR / EVICTION_DENOMINATOR {
+                    self.connections.evict_one(EvictionAge::SpareYoung);
                 }
                 self.spawn(stream, address);
             }
-            // The client has given up, or nothing was accepted: nothing lacks here.
-            Err(error) if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
-            // Out of descriptors or the like: make room, wait a moment, go on.
-            Err(error) => {
-                warn!(%error, "accept failed");
-                self.upstreams.evict_idle();
-                self.evict_one(false);
-                sleep(PAUSE).await;
-            }
+            Err(error) => self.recover_from_failed_accept(&error).await,
         }
     }
 
-    /// Connections of clients that may be open: the budget without the backends' share. While another process shares
-    /// the budget, older connections to backends may exceed that share.
-    fn max_connections(&self) -> usize {
-        let budget = self.budget.now();
-        budget.saturating_sub(self.upstreams.in_use().max(budget / BACKEND_SHARE))
+    /// After a local error, such as a lack of descriptors, closes a connection on each side and waits a moment.
+    async fn recover_from_failed_accept(&self, error: &io::Error) {
+        // The client has given up, or nothing was accepted: this machine lacks nothing.
+        if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) {
+            return;
+        }
+        warn!(%error, "accept failed");
+        self.upstreams.evict_idle();
+        self.connections.evict_one(EvictionAge::SpareYoung);
+        sleep(ACCEPT_RETRY_DELAY).await;
     }
 
-    /// At the limit one connection closes for each new one. If none can, the next new one waits a little. Left to
-    /// wait for longer, all in the accept queue would age until their answers are too late; so they are turned away.
-    async fn make_room(&self, listener: &TcpListener) {
+    /// At the limit one connection is evicted for each new one. If none can be, the next new one waits a little. Left
+    /// to wait for longer, all in the accept queue would age until their responses are too late; so they are rejected.
+    async fn accept_at_limit(&self, listener: &TcpListener) {
         let queue_is_old = self.queue_empty_at.get().elapsed() >= MAX_QUEUE_TIME;
-        if self.evict_one(queue_is_old) || !queue_is_old {
-            let _ = timeout(PAUSE, self.changed.notified()).await;
+        let age = if queue_is_old { EvictionAge::AnyWithoutRequest } else { EvictionAge::SpareYoung };
+        if self.connections.evict_one(age) || !queue_is_old {
+            let _ = timeout(ACCEPT_RETRY_DELAY, self.changed.notified()).await;
             return;
         }
         match timeout(Duration::ZERO, listener.accept()).await {
-            Ok(Ok(turned_away)) => drop(turned_away),
-            Ok(Err(_)) => sleep(PAUSE).await,
+            Ok(Ok(rejected)) => drop(rejected),
+            Ok(Err(_)) => sleep(ACCEPT_RETRY_DELAY).await,
             Err(_) => self.queue_empty_at.set(Instant::now()),
         }
     }
@@ -89,26 +90,24 @@
         }
     }
 
-    /// Counts and tells why a connection has been closed.
-    fn note_closed(&self, client: &Client) {
-        let reason = client.close_reason();
-        self.metrics.client_closed(reason);
-        debug!(client = %client.address, reason = reason.name(), "a client's connection is closed");
-    }
-
     fn spawn(self: Rc<Self>, stream: TcpStream, address: SocketAddr) {
         let _ = stream.set_nodelay(true); // slower without, no worse
         let client = Rc::new(Client::new(stream, address.ip(), self.queue_empty_at.get()));
-        self.connections.set(self.connections.get() + 1);
-        self.in_flight.set(self.in_flight.get() + 1); // the stage of a client to begin with
+        self.connections.add();
         self.set_stage(&client, Stage::New);
         tokio::task::spawn_local(async move {
             self.serve_connection(&client).await;
-            self.note_closed(&client);
+            self.record_closed(&client);
             self.set_stage(&client, Stage::InFlight);
-            self.in_flight.set(self.in_flight.get() - 1);
-            self.connections.set(self.connections.get() - 1);
+            self.connections.remove();
             self.changed.notify_waiters();
         });
     }
+
+    /// Counts and logs why a connection has been closed.
+    fn record_closed(&self, client: &Client) {
+        let reason = client.close_reason();
+        self.metrics.client_closed(reason);
+        debug!(client = %client.address, reason = reason.name(), "client connection closed");
+    }
 }
--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -1,23 +1,39 @@
-//! Clients: accepts connections, reads and checks requests, and gives each exactly one final answer.
+//! Clients: accepts connections, reads and checks requests, and gives each exactly one final response.
 //!
-//! - `listener` accepts connections within the `budget` of sockets, `stages` evicts some to make room;
-//! - `connection` serves one connection over its `client_socket`, `client` is what is known of it;
-//! - `request` takes one request to its answer, `body` reads its body, `response` words what the client gets;
-//! - `shutdown` ends the process without losing a request.
+//! The way of one request, from the accept to the final response:
+//!
+//! 1. `listener` accepts the connection within the `socket_limits` and adds it to the `connection_table`, by which
+//!    connections are evicted when sockets run short and closed when their time is up.
+//! 2. `connection` serves it: hyper reads and writes its `client_socket`, whose state is the `client`.
+//! 3. `service` is called for each request once its head is `received`. It rejects the request if too many are in
+//!    flight.
+//! 4. `admission` checks the head, and `body` receives the body, completely or up to what is buffered.
+//! 5. `forward` submits the request to the driver, waits for the final answer while the rest of a streamed body is
+//!    received, and notifies the driver if the client disconnects first (`cancellation`).
+//! 6. `response` turns the answer into the client's response. The request ends with it, or with the last byte of a
+//!    streamed response.
+//!
+//! A connection that is closed while its client may still be sending goes through `linger`. `shutdown` ends the process
+//! without losing a request.
 
+mod admission;
 mod body;
-mod budget;
+mod cancellation;
 mod client;
 mod client_socket;
 mod connection;
+mod connection_table;
+mod forward;
+mod forwarded_head;
+mod linger;
 mod listener;
-mod request;
+mod received;
 mod response;
+mod service;
 mod shutdown;
-mod stages;
+mod socket_limits;
 
 use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,47 +42,61 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-pub use budget::Budget;
 pub use listener::listen;
+pub use socket_limits::SocketLimits;
 
+use crate::access_record::AccessSampler;
 use crate::classes::Classes;
+use crate::close_reason::ClientClose;
 use crate::inbox::Inbox;
 use crate::metrics::Metrics;
 use crate::open_ids::OpenIds;
 use crate::upstream::UpstreamPool;
-use client::Client;
-use stages::EVICTABLE_STAGES;
+use client::{Client, Stage};
+use connection_table::{ConnectionTable, MIN_IDLE_TIME};
 
 /// Longest head. Large enough for any client of the protocol, small enough for all connections at once.
-const MAX_HEAD_SIZE: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 /// A request must be complete this long after its first byte, the first one this long after its connection was
 /// accepted: a client that sends nothing of use is owed an end within 3 s. A body that keeps a pace may take longer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2400);
-/// Interval between looks for connections whose time is up.
+/// An idle connection is closed after this time: some clients send one request and keep their connection for good.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(15);
+/// Interval between searches for connections whose time is up.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
+/// What a frontend shares with other parts of the proxy.
+pub struct FrontendParts {
+    /// Where requests are submitted.
+    pub inbox: Inbox,
+    /// The classes of requests.
+    pub classes: Rc<RefCell<Classes>>,
+    /// For the sockets and the memory that both sides share.
+    pub upstreams: Rc<UpstreamPool>,
+    /// The limit on sockets.
+    pub limits: SocketLimits,
+    /// Where requests and connections are counted.
+    pub metrics: Arc<Metrics>,
+    /// Whether the operators have taken the proxy out of service.
+    pub drained: Rc<Cell<bool>>,
+    /// The fraction of requests that leave an access event.
+    pub access_rate: Rc<Cell<f64>>,
+}
+
 /// What all connections of clients share.
 pub struct Frontend {
     inbox: Inbox,
     classes: Rc<RefCell<Classes>>,
     upstreams: Rc<UpstreamPool>,
-    budget: Budget,
+    limits: SocketLimits,
     metrics: Arc<Metrics>,
-    /// The fraction of requests that leave an access event.
-    access_rate: Rc<Cell<f64>>,
-    /// What has been saved up for the next access event, which is due at 1.
-    access_credit: Cell<f64>,
+    access_sampler: AccessSampler,
     next_number: Cell<u64>,
     /// The operators have taken the proxy out of service.
     drained: Rc<Cell<bool>>,
     /// The process ends.
     stopping: Cell<bool>,
-    /// Open connections.
-    connections: Cell<usize>,
-    /// Those with a request in flight.
-    in_flight: Cell<usize>,
-    /// The others by stage, oldest first.
-    by_stage: RefCell<[BTreeMap<u64, Rc<Client>>; EVICTABLE_STAGES]>,
+    connections: ConnectionTable,
     /// When the accept queue was last seen empty.
     queue_empty_at: Cell<Instant>,
     open_ids: OpenIds,
@@ -76,24 +106,18 @@
 
 impl Frontend {
     /// A frontend without connections.
-    pub fn new(
-        inbox: Inbox, classes: Rc<RefCell<Classes>>, upstreams: Rc<UpstreamPool>, budget: Budget,
-        metrics: Arc<Metrics>, drained: Rc<Cell<bool>>, access_rate: Rc<Cell<f64>>,
-    ) -> Rc<Self> {
+    pub fn new(parts: FrontendParts) -> Rc<Self> {
         Rc::new(Frontend {
-            inbox,
-            classes,
-            upstreams,
-            budget,
-            metrics,
-            access_rate,
-            access_credit: Cell::new(0.0),
+            inbox: parts.inbox,
+            classes: parts.classes,
+            upstreams: parts.upstreams,
+            limits: parts.limits,
+            metrics: parts.metrics,
+            access_sampler: AccessSampler::new(parts.access_rate),
             next_number: Cell::new(0),
-            drained,
+            drained: parts.drained,
             stopping: Cell::new(false),
-            connections: Cell::new(0),
-            in_flight: Cell::new(0),
-            by_stage: RefCell::default(),
+            connections: ConnectionTable::default(),
             queue_empty_at: Cell::new(Instant::now()),
             open_ids: OpenIds::default(),
             changed: Notify::new(),
@@ -102,13 +126,7 @@
 
     /// Accepts and serves connections until `stop`, then finishes the requests that have been accepted.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
-        let expiry = self.clone();
-        tokio::task::spawn_local(async move {
-            loop {
-                sleep(EXPIRY_INTERVAL).await;
-                expiry.close_expired();
-            }
-        });
+        tokio::task::spawn_local(self.clone().close_expired_periodically());
         tokio::pin!(stop);
         loop {
             tokio::select! {
@@ -120,6 +138,33 @@
         self.shut_down(listener).await;
     }
 
+    async fn close_expired_periodically(self: Rc<Self>) {
+        loop {
+            sleep(EXPIRY_INTERVAL).await;
+            self.close_expired();
+        }
+    }
+
+    /// Asks the connections whose time is up to close.
+    fn close_expired(&self) {
+        self.metrics.connected(self.connections.open(), self.upstreams.in_use());
+        let now = Instant::now();
+        self.connections.close_overdue(now);
+        if self.draining() {
+            self.connections.close_idle(now, MIN_IDLE_TIME, ClientClose::Drained);
+        } else {
+            self.connections.close_idle(now, MAX_IDLE_TIME, ClientClose::Idle);
+        }
+    }
+
+    /// Moves a connection to another stage.
+    fn set_stage(&self, client: &Rc<Client>, stage: Stage) {
+        self.connections.set_stage(client, stage, self.next_number());
+        if self.stopping.get() {
+            self.changed.notify_waiters();
+        }
+    }
+
     /// Whether clients are asked to go elsewhere.
     fn draining(&self) -> bool {
         self.drained.get() || self.stopping.get()
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -12,29 +12,29 @@
 use super::Frontend;
 use super::client::{Client, Stage};
 use crate::body_stream::BodyStream;
-use crate::body_upload::BodyError;
 use crate::cause::Cause;
-use crate::head::Rejection;
+use crate::config::Dialect;
 use crate::inbox::Answer;
 use crate::metrics::RequestTicket;
+use crate::rejection::Rejection;
 use crate::upstream::{MessageBody, UpstreamResponse};
 
 impl Frontend {
     /// The response that carries a request's final answer, and the end of the request: at once, or with the last byte
-    /// of a streamed answer.
+    /// of a streamed response.
     pub(super) fn final_response(
         self: &Rc<Self>, answer: Answer, ticket: RequestTicket, client: &Rc<Client>,
     ) -> Response<MessageBody> {
         match answer {
-            Answer::Served(reply) => self.served(reply, ticket, client),
+            Answer::Served(response) => self.served(response, ticket, client),
             // No other backend could take over: the client sees what this one said.
-            Answer::Passed(reply) => {
+            Answer::Passed(response) => {
                 ticket.end(Cause::BackendError);
-                reply_response(reply)
+                client_response(response)
             }
             Answer::Refused { after, tried } => {
-                ticket.end(if tried { Cause::RefusedTried } else { Cause::RefusedUntried });
-                self.refused(after)
+                ticket.end(if tried { Cause::RejectedAfterAttempt } else { Cause::RejectedBeforeAttempt });
+                self.unavailable(after)
             }
             Answer::Failed => {
                 ticket.end(Cause::Failed);
@@ -44,27 +44,27 @@
     }
 
     fn served(
-        self: &Rc<Self>, mut reply: UpstreamResponse, ticket: RequestTicket, client: &Rc<Client>,
+        self: &Rc<Self>, mut response: UpstreamResponse, ticket: RequestTicket, client: &Rc<Client>,
     ) -> Response<MessageBody> {
-        reply.body = match reply.body {
+        response.body = match response.body {
             Either::Left(body) => {
                 ticket.end(Cause::Served);
                 Either::Left(body)
             }
-            Either::Right(stream) => Either::Right(self.clone().stream_answer(stream, ticket, client)),
+            Either::Right(stream) => Either::Right(self.clone().follow_stream(stream, ticket, client)),
         };
-        reply_response(reply)
+        client_response(response)
     }
 
-    /// Follows a streamed answer to its client; the request ends with it.
-    fn stream_answer(
+    /// Follows a streamed response to its client; the request ends with it.
+    fn follow_stream(
         self: Rc<Self>, mut stream: BodyStream, ticket: RequestTicket, client: &Rc<Client>,
     ) -> BodyStream {
         client.streaming.set(true);
         client.last_write.set(Instant::now());
         let client = client.clone();
         stream.on_end(Box::new(move |complete| {
-            ticket.end(if complete { Cause::Served } else { Cause::AnswerBroken });
+            ticket.end(if complete { Cause::Served } else { Cause::ResponseBroken });
             client.streaming.set(false);
             if complete {
                 self.set_stage(&client, Stage::Idle);
@@ -73,47 +73,42 @@
         stream
     }
 
-    /// The response to a request that the core has refused; trying again is harmless, at best after that span.
-    fn refused(&self, after: Option<Millis>) -> Response<MessageBody> {
+    /// The response to a request that was not processed; a retry is harmless, best after that time.
+    fn unavailable(&self, retry_after: Option<Millis>) -> Response<MessageBody> {
         let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "try again");
-        if let Some(after) = after.and_then(|ms| self.retry_after(ms)) {
-            response.headers_mut().insert(header::RETRY_AFTER, after);
+        if let Some(value) = retry_after.and_then(|retry_after| self.retry_after_header(retry_after)) {
+            response.headers_mut().insert(header::RETRY_AFTER, value);
         }
         response
     }
 
     /// Only the operators' protocol knows fractions of a second.
-    fn retry_after(&self, after: Millis) -> Option<HeaderValue> {
-        let seconds = after / 1000.0;
-        let text = if self.is_plain() { format!("{:.0}", seconds.ceil()) } else { format!("{seconds:.3}") };
+    fn retry_after_header(&self, retry_after: Millis) -> Option<HeaderValue> {
+        let seconds = retry_after / 1000.0;
+        let text = match self.classes.borrow().dialect {
+            Dialect::Plain(_) => format!("{:.0}", seconds.ceil()),
+            Dialect::Platform => format!("{seconds:.3}"),
+        };
         text.parse().ok()
     }
 }
 
-/// The response to a request that can't be accepted.
+/// The response to a request that is rejected before it is submitted.
 pub(super) fn rejection_response(rejection: Rejection) -> Response<MessageBody> {
-    text_response(rejection.status, rejection.text)
-}
-
-/// The rejection of a client that does not finish its body.
-pub(super) fn body_rejection(fault: BodyError) -> Rejection {
-    match fault {
-        BodyError::TooSlow => Rejection::new(StatusCode::REQUEST_TIMEOUT, "the body came too slowly"),
-        BodyError::Malformed => Rejection::new(StatusCode::BAD_REQUEST, "the body is malformed"),
-    }
+    text_response(rejection.status(), rejection.to_string())
 }
 
-/// A backend's reply as its client gets it.
-fn reply_response(reply: UpstreamResponse) -> Response<MessageBody> {
-    let mut response = Response::new(reply.body);
-    *response.status_mut() = reply.status;
-    *response.headers_mut() = reply.headers;
+/// A backend's response as its client gets it.
+fn client_response(upstream: UpstreamResponse) -> Response<MessageBody> {
+    let mut response = Response::new(upstream.body);
+    *response.status_mut() = upstream.status;
+    *response.headers_mut() = upstream.headers;
     response
 }
 
 /// A response of this proxy's own.
-pub(super) fn text_response(status: StatusCode, text: &'static str) -> Response<MessageBody> {
-    let mut response = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
+pub(super) fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<MessageBody> {
+    let mut response = Response::new(Either::Left(Full::new(text.into())));
     *response.status_mut() = status;
     response
 }
--- /dev/null
+++ b/crates/proxy/src/frontend/service.rs
@@ -0,0 +1,74 @@
+//! The service that hyper calls for each request of a connection.
+
+use std::rc::Rc;
+use std::sync::atomic::Ordering::Relaxed;
+
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::{Request, Response, StatusCode};
+
+use super::Frontend;
+use super::client::{Client, ClientDisconnected, Stage};
+use super::received::ReceivedHead;
+use super::response::text_response;
+use crate::cause::Cause;
+use crate::config::Dialect;
+use crate::upstream::MessageBody;
+
+/// The path of the platform's readiness check.
+const PLATFORM_READINESS_PATH: &str = "/up";
+
+impl Frontend {
+    /// Handles one request of which hyper has read the head.
+    pub(super) async fn handle(
+        self: &Rc<Self>, request: Request<Incoming>, client: &Rc<Client>,
+    ) -> Result<Response<MessageBody>, ClientDisconnected> {
+        let received = ReceivedHead::new(request, client);
+        self.set_stage(client, Stage::InFlight);
+        let overloaded = self.connections.in_flight() > self.limits.max_in_flight();
+        let mut response = if overloaded {
+            self.reject_overloaded(&received)
+        } else {
+            self.respond(received, client).await.inspect_err(|_| client.read_closed.set(true))?
+        };
+        // After a malformed request nobody knows where the next one would start.
+        if overloaded || self.draining() || response.status().is_client_error() {
+            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        } else if !client.streaming.get() {
+            self.set_stage(client, Stage::Idle);
+        }
+        Ok(response)
+    }
+
+    /// Rejects a request because too many are in flight. It is counted if its head is valid.
+    fn reject_overloaded(&self, received: &ReceivedHead) -> Response<MessageBody> {
+        if let Ok(meta) = self.read_head(&received.request) {
+            self.count_request(&meta, received.arrived_at).end(Cause::RejectedOverloaded);
+        }
+        text_response(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
+    }
+
+    /// Responds to a request: to a readiness check here, to any other by way of the backends.
+    async fn respond(
+        self: &Rc<Self>, received: ReceivedHead, client: &Rc<Client>,
+    ) -> Result<Response<MessageBody>, ClientDisconnected> {
+        if self.is_readiness_check(received.request.uri().path()) {
+            return Ok(self.readiness());
+        }
+        self.forward(received, client).await
+    }
+
+    /// Whether a path asks if clients may be sent here.
+    fn is_readiness_check(&self, path: &str) -> bool {
+        match &self.classes.borrow().dialect {
+            Dialect::Platform => path == PLATFORM_READINESS_PATH,
+            Dialect::Plain(plain) => plain.up_path.as_deref() == Some(path),
+        }
+    }
+
+    fn readiness(&self) -> Response<MessageBody> {
+        let ready = self.metrics.ready.load(Relaxed) && !self.draining();
+        let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        text_response(status, "")
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/head/plain.rs
@@ -0,0 +1,61 @@
+//! Heads of any HTTP/1.1 request, by configured routes.
+
+use std::time::Duration;
+
+use hyper::header::{self, HeaderMap};
+use hyper::{Method, Uri};
+use leadrelay_core::{Idempotency, TenantId};
+
+use super::RequestMeta;
+use super::fields::{affinity_key, number, single};
+use crate::classes::Classes;
+use crate::config::Plain;
+use crate::rejection::Rejection;
+
+const MILLIS_PER_SECOND: f64 = 1000.0;
+
+/// Reads the head of any request. A class that is idempotent with a key needs one.
+pub(super) fn read(
+    classes: &Classes, plain: &Plain, method: &Method, uri: &Uri, headers: &HeaderMap, number_in_process: u64,
+) -> Result<RequestMeta, Rejection> {
+    if *method == Method::CONNECT || headers.contains_key(header::UPGRADE) {
+        return Err(Rejection::TunnelOrUpgrade);
+    }
+    let class = classes.route(plain, uri.path(), method).ok_or(Rejection::NoRoute)?;
+    let needs_key = matches!(class.rules.idempotency, Idempotency::WithKey { .. });
+    if needs_key && single(headers, "idempotency-key")?.is_none() {
+        return Err(Rejection::MissingHeader("Idempotency-Key"));
+    }
+    let max_timeout_s = class.rules.deadline / MILLIS_PER_SECOND;
+    let timeout_s =
+        number(headers, "x-timeout")?.map_or(max_timeout_s, |requested| requested.min(max_timeout_s));
+    Ok(RequestMeta {
+        id: request_id(headers, number_in_process),
+        class,
+        tenant: tenant(classes, plain, headers),
+        affinity_key: affinity_key(uri),
+        expected_cost: None,
+        timeout: Duration::from_secs_f64(timeout_s),
+        requires_unique_id: false,
+        adds_forwarding_headers: true,
+    })
+}
+
+/// The client's id, or one that no other request of this process has.
+fn request_id(headers: &HeaderMap, number_in_process: u64) -> String {
+    match printable(headers, "x-request-id").filter(|id| !id.is_empty()) {
+        Some(id) => id.to_owned(),
+        None => format!("{:08x}-{number_in_process:x}", std::process::id()),
+    }
+}
+
+/// The tenant; an unknown one is none.
+fn tenant(classes: &Classes, plain: &Plain, headers: &HeaderMap) -> Option<TenantId> {
+    let name = printable(headers, &plain.tenant_header)?;
+    let tenant = classes.tenants.iter().position(|tenant| tenant == name)?;
+    Some(TenantId(tenant))
+}
+
+fn printable<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name).and_then(|value| value.to_str().ok())
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -24,6 +24,7 @@
 mod metrics;
 mod open_ids;
 mod peers;
+mod rejection;
 mod server;
 mod socket;
 mod tally;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -274,7 +274,7 @@
         self.ended = true;
         let elapsed = self.arrived_at.elapsed();
         self.counts.ended[cause as usize].inc();
-        if cause != Cause::ClientLeft {
+        if cause != Cause::ClientDisconnected {
             self.counts.seconds.observe(elapsed.as_secs_f64());
         }
         if let Some(access_record) = &self.access_record {
@@ -286,7 +286,7 @@
 impl Drop for RequestTicket {
     fn drop(&mut self) {
         if !self.ended {
-            self.count(Cause::ClientLeft);
+            self.count(Cause::ClientDisconnected);
         }
         self.metrics.pending.dec();
     }
@@ -417,7 +417,7 @@
         let classes = self.classes.lock().unwrap_or_else(PoisonError::into_inner);
         let ended = |stat: &str| {
             let of = |c: &Counts| {
-                let causes = Cause::ALL.into_iter().filter(|cause| cause.stat() == Some(stat));
+                let causes = Cause::ALL.into_iter().filter(|cause| cause.stats_key() == Some(stat));
                 causes.map(|cause| c.ended[cause as usize].get()).sum::<u64>()
             };
             Value::Object(classes.iter().map(|(name, c)| (name.clone(), of(c).into())).collect())
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -15,7 +15,7 @@
     assert_eq!(report["pending"], 0);
     assert_eq!(report["completed"], json!({"idle": 0, "page": 1}));
     assert_eq!((&report["rejected"]["page"], &report["failed"]["page"]), (&json!(0), &json!(0)));
-    assert_eq!((metrics.ended(Cause::Served), metrics.ended(Cause::ClientLeft)), (1, 1));
+    assert_eq!((metrics.ended(Cause::Served), metrics.ended(Cause::ClientDisconnected)), (1, 1));
 }
 
 #[test]
--- a/crates/proxy/src/open_ids.rs
+++ b/crates/proxy/src/open_ids.rs
@@ -5,25 +5,27 @@
 
 use rustc_hash::FxHashSet;
 
-/// The ids of open requests. A second request under one of them could be taken for the first.
-pub type OpenIds = Rc<RefCell<FxHashSet<Rc<str>>>>;
+/// The ids of open requests. A second request with one of them could be taken for the first.
+#[derive(Clone, Default)]
+pub struct OpenIds(Rc<RefCell<FxHashSet<Rc<str>>>>);
 
-/// Holds an id until the request and its attempts have ended.
+/// Reserves an id until the request and its attempts have ended.
 pub struct OpenId {
     ids: OpenIds,
     id: Rc<str>,
 }
 
-impl OpenId {
-    /// Takes an id; `None` if a request under it is open.
-    pub fn take(ids: &OpenIds, id: &str) -> Option<Self> {
+impl OpenIds {
+    /// Reserves an id; `None` if a request with it is open.
+    pub fn reserve(&self, id: &str) -> Option<OpenId> {
         let id: Rc<str> = id.into();
-        ids.borrow_mut().insert(id.clone()).then(|| OpenId { ids: ids.clone(), id })
+        let is_new = self.0.borrow_mut().insert(id.clone());
+        is_new.then(|| OpenId { ids: self.clone(), id })
     }
 }
 
 impl Drop for OpenId {
     fn drop(&mut self) {
-        self.ids.borrow_mut().remove(&self.id);
+        self.ids.0.borrow_mut().remove(&self.id);
     }
 }
--- /dev/null
+++ b/crates/proxy/src/rejection.rs
@@ -0,0 +1,82 @@
+//! Why the proxy rejects a request itself, and how its client is told.
+
+use hyper::StatusCode;
+
+use crate::body_upload::BodyError;
+
+/// Why a request is rejected before it is submitted. The message is the body of the response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum Rejection {
+    /// The path names no class.
+    #[error("no such class")]
+    UnknownClass,
+    /// No class has a route for the path and method.
+    #[error("no class takes this path and method")]
+    NoRoute,
+    /// The method is not the one of the class.
+    #[error("not the method of this class")]
+    WrongMethod,
+    /// An idempotency key without need, or none where the class needs one.
+    #[error("Idempotency-Key does not fit the class")]
+    IdempotencyKeyMismatch,
+    /// A mandatory header is missing.
+    #[error("{0} is missing")]
+    MissingHeader(&'static str),
+    /// A header is malformed, or present more than once.
+    #[error("a header is malformed or stands twice")]
+    InvalidHeader,
+    /// A numeric header is not a number, or negative.
+    #[error("a header is no number")]
+    InvalidNumber,
+    /// The tenant is not configured.
+    #[error("no such tenant")]
+    UnknownTenant,
+    /// CONNECT, or an upgrade of the connection.
+    #[error("no tunnels and no upgrades")]
+    TunnelOrUpgrade,
+    /// The length of the body is not given, or given twice.
+    #[error("the length must be told, and once")]
+    AmbiguousLength,
+    /// The body is longer than any that is forwarded.
+    #[error("the body is too large")]
+    BodyTooLarge,
+    /// The id belongs to an open request.
+    #[error("a request with this id is open")]
+    IdInUse,
+    /// The body did not arrive in time.
+    #[error("the body came too slowly")]
+    BodyTooSlow,
+    /// The body is malformed.
+    #[error("the body is malformed")]
+    BodyMalformed,
+}
+
+impl Rejection {
+    /// The status code of the response.
+    pub fn status(self) -> StatusCode {
+        match self {
+            Rejection::UnknownClass | Rejection::NoRoute => StatusCode::NOT_FOUND,
+            Rejection::WrongMethod => StatusCode::METHOD_NOT_ALLOWED,
+            Rejection::TunnelOrUpgrade => StatusCode::NOT_IMPLEMENTED,
+            Rejection::AmbiguousLength => StatusCode::LENGTH_REQUIRED,
+            Rejection::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Rejection::IdInUse => StatusCode::CONFLICT,
+            Rejection::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
+            Rejection::IdempotencyKeyMismatch
+            | Rejection::MissingHeader(_)
+            | Rejection::InvalidHeader
+            | Rejection::InvalidNumber
+            | Rejection::UnknownTenant
+            | Rejection::BodyMalformed => StatusCode::BAD_REQUEST,
+        }
+    }
+}
+
+impl From<BodyError> for Rejection {
+    fn from(error: BodyError) -> Self {
+        match error {
+            BodyError::TooSlow => Rejection::BodyTooSlow,
+            BodyError::Malformed => Rejection::BodyMalformed,
+        }
+    }
+}
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -197,15 +197,20 @@
     }
     let shared = (config.sockets / 2).saturating_sub(RESERVE).max(RESERVE / 2);
     let whole = config.sockets.saturating_sub(RESERVE).max(RESERVE);
-    let budget = frontend::Budget { whole, shared, handover: handover.clone() };
+    let limits = frontend::SocketLimits { alone: whole, overlapping: shared, handover: handover.clone() };
     // The module sends to a backend only while it has a free slot there, but clients come as they like: most of the
     // budget is theirs, yet never the backends' part.
     // Two processes share the memory during an upgrade.
     let pool = || body_memory::MemoryBudget::new(config.memory / POOL);
     let memory = body_memory::BodyMemory { streamed: pool(), read_ahead: pool() };
     let plain = matches!(config.dialect, Dialect::Plain(_));
-    let upstreams =
-        upstream::UpstreamPool::new(&config.connections, budget.backends(), plain, metrics.clone(), memory);
+    let upstreams = upstream::UpstreamPool::new(
+        &config.connections,
+        limits.max_backends(),
+        plain,
+        metrics.clone(),
+        memory,
+    );
     let upstreams = Rc::new(upstreams);
     let drained = Rc::new(Cell::new(false));
     let parts = Parts {
@@ -245,7 +250,15 @@
         driver.resume(predecessor);
     }
     let driver = spawn_local(driver.run(inputs));
-    let front = frontend::Frontend::new(inbox, classes, upstreams, budget, metrics, drained, access);
+    let front = frontend::Frontend::new(frontend::FrontendParts {
+        inbox,
+        classes,
+        upstreams,
+        limits,
+        metrics,
+        drained,
+        access_rate: access,
+    });
     ready(Addresses { clients, admin });
     // Without its module a proxy could only fail everything: then it is better dead and started anew.
     tokio::select! {
