--- a/check.sh
+++ b/check.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Everything that has to hold before a change lands: format, lints, tests, docs, the library alone. Tests that KNOWN-RED.txt
-# lists (a line each: test, cause, issue; separated by '|') are printed and passed over.
+# Everything that has to hold before a change lands: format, lints, tests, docs, the core without its default features. Tests
+# that KNOWN-RED.txt lists (a line each: test, cause, issue; separated by '|') are printed and skipped.
 set -euo pipefail
 cd "$(dirname "$0")"
 skipped=()
