--- a/crates/simulator/src/backend/mod.rs
+++ b/crates/simulator/src/backend/mod.rs
@@ -60,7 +60,7 @@
     pub slowdown: f64,
     /// Open connections.
     pub connections: usize,
-    /// Counts changes, so that an outdated completion is told from a current one.
+    /// Counts changes, so that an outdated completion is distinguished from a current one.
     pub generation: u64,
     /// Time in process, cores counted.
     pub busy: Millis,
--- a/crates/simulator/src/commands/baselines.rs
+++ b/crates/simulator/src/commands/baselines.rs
@@ -49,6 +49,6 @@
             violations.to_string(),
         ]);
     }
-    println!("{} over {} days from seed {}\n{shown}", scenario.name, seeds.count, seeds.first);
+    println!("{} over {} runs from seed {}\n{shown}", scenario.name, seeds.count, seeds.first);
     Ok(Verdict::Passed)
 }
--- a/crates/simulator/src/commands/cold.rs
+++ b/crates/simulator/src/commands/cold.rs
@@ -193,11 +193,11 @@
         "lost",
         "restarted",
         "starts",
-        "told, settings",
-        "told, truth",
+        "notified, settings",
+        "notified, true",
         "all, settings",
-        "all, truth",
-        "to blame",
+        "all, true",
+        "at fault",
         "rules broken",
         "served",
     ]);
@@ -214,7 +214,7 @@
     }
     if !arguments.json {
         println!(
-            "{} by {}, {} days a cell from seed {}: requests over N + 2√N + 2, as worst day, median day, windows over\n{shown}",
+            "{} by {}, {} runs a cell from seed {}: requests over N + 2√N + 2, as worst run, median run, windows over\n{shown}",
             scenario.name,
             arguments.by.name(),
             arguments.seeds.count,
--- a/crates/simulator/src/commands/compare.rs
+++ b/crates/simulator/src/commands/compare.rs
@@ -62,7 +62,7 @@
         let a = arguments.a.name();
         let b = arguments.b.name();
         let scenario = scenario.name;
-        println!("{scenario}: A {a}, B {b}, {} days from seed {}\n{shown}", seeds.count, seeds.first);
+        println!("{scenario}: A {a}, B {b}, {} runs from seed {}\n{shown}", seeds.count, seeds.first);
     }
     Ok(Verdict::Passed)
 }
--- a/crates/simulator/src/commands/reconnect.rs
+++ b/crates/simulator/src/commands/reconnect.rs
@@ -24,8 +24,8 @@
     #[arg(long)]
     late_refusals: bool,
     /// A proxy gives a call up after this time, in ms
-    #[arg(long, default_value_t = 3000.0, value_parser = positive)]
-    patience_ms: f64,
+    #[arg(long = "patience-ms", value_name = "PATIENCE_MS", default_value_t = 3000.0, value_parser = positive)]
+    call_timeout_ms: f64,
     /// For how long the storm is observed, in ms
     #[arg(long, default_value_t = 30_000.0, value_parser = positive)]
     length_ms: f64,
@@ -47,7 +47,7 @@
             calls_per_s: self.calls_per_s,
             max_wait: self.limit_ms,
             late_refusals: self.late_refusals,
-            call_timeout: self.patience_ms,
+            call_timeout: self.call_timeout_ms,
             duration: self.length_ms,
         }
     }
--- a/crates/simulator/src/commands/run.rs
+++ b/crates/simulator/src/commands/run.rs
@@ -10,7 +10,7 @@
 use crate::arguments::WorkloadArguments;
 use crate::table::table;
 
-/// Keeps a division defined where nothing was asked for.
+/// Keeps a division defined where nothing was offered.
 const MIN_TOTAL: f64 = 1e-9;
 
 #[derive(Debug, Args)]
@@ -50,7 +50,7 @@
     );
     println!("{}", outcome_table(result));
     for violation in &result.violations {
-        println!("BROKEN at {:.0} ms: {}: {}", violation.at, violation.rule.name(), violation.details);
+        println!("VIOLATION at {:.0} ms: {}: {}", violation.at, violation.rule.name(), violation.details);
     }
 }
 
@@ -72,7 +72,7 @@
 fn print_counters(result: &RunResult) {
     let counters = &result.counters;
     println!(
-        "{} requests, {} tries, {} attempts, {} handshakes, {} messages, {} of {} calls to discovery failed, {} events, cores busy {:.2}",
+        "{} requests, {} client attempts, {} attempts, {} handshakes, {} gossip messages, {} of {} calls to discovery failed, {} events, core utilisation {:.2}",
         result.requests,
         counters.client_attempts,
         counters.attempts,
@@ -91,7 +91,7 @@
     let groups: Vec<(&String, &OutcomeWeights)> =
         dimensions.iter().filter_map(|dimension| result.outcomes_by.get(dimension)).flatten().collect();
     let names = groups.iter().map(|(name, _)| name.as_str());
-    let mut shown = table(["where the worth went", "of all"].into_iter().chain(names));
+    let mut shown = table(["weight by outcome", "of all"].into_iter().chain(names));
     let mut outcomes: Vec<(&RequestOutcome, &f64)> = result.outcomes.iter().collect();
     outcomes.sort_by(|one, other| other.1.total_cmp(one.1));
     for (outcome, weight) in outcomes {
--- a/crates/simulator/src/report/result.rs
+++ b/crates/simulator/src/report/result.rs
@@ -15,7 +15,7 @@
 const PRICED_GOSSIP_BYTES: f64 = 256.0;
 /// Violations that a result lists.
 const MAX_LISTED_VIOLATIONS: usize = 20;
-/// Keeps divisions defined where nothing was asked for.
+/// Keeps divisions defined where nothing was offered.
 const MIN_TOTAL: f64 = 1e-9;
 
 /// What the parts of the service weigh in the score, by the operators' brief.
@@ -26,7 +26,7 @@
     pub const WORST_TENANT: f64 = 0.1;
 }
 
-/// Weight by outcome, as a fraction of all weight asked for.
+/// Weight by outcome, as a fraction of all weight offered.
 pub type OutcomeWeights = BTreeMap<RequestOutcome, f64>;
 
 /// By what the outcomes are broken down.
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct WorstWindow {
-    /// Weight served in time over weight asked for.
+    /// Weight served in time over weight offered.
     pub served: f64,
     /// When it starts, in seconds.
     pub start_s: f64,
@@ -95,7 +95,7 @@
     /// Service by the operators' weights, less charges.
     #[serde(rename = "g")]
     pub score: f64,
-    /// Weight served in time over weight asked for.
+    /// Weight served in time over weight offered.
     pub served: f64,
     /// The same in the worst 10 s.
     pub worst_window: WorstWindow,
@@ -128,25 +128,25 @@
     pub violations: Vec<Violation>,
 }
 
-/// Weight served in time and weight asked for.
+/// Weight served in time and weight offered.
 #[derive(Clone, Copy, Default)]
 struct Service {
-    asked: f64,
+    offered: f64,
     served: f64,
 }
 
 impl Service {
     fn add(&mut self, weight: f64, is_served: bool) {
-        self.asked += weight;
+        self.offered += weight;
         self.served += if is_served { weight } else { 0.0 };
     }
 
     fn plus(self, other: &Service) -> Self {
-        Service { asked: self.asked + other.asked, served: self.served + other.served }
+        Service { offered: self.offered + other.offered, served: self.served + other.served }
     }
 
     fn fraction(&self) -> f64 {
-        if self.asked > 0.0 { self.served / self.asked } else { 1.0 }
+        if self.offered > 0.0 { self.served / self.offered } else { 1.0 }
     }
 }
 
@@ -193,9 +193,9 @@
         }
     }
 
-    /// Divides weights by outcome by all weight asked for.
+    /// Divides weights by outcome by all weight offered.
     fn normalize(&mut self) {
-        let total = self.run.asked.max(MIN_TOTAL);
+        let total = self.run.offered.max(MIN_TOTAL);
         let broken_down = self.outcomes_by.values_mut().flat_map(BTreeMap::values_mut);
         for outcomes in broken_down.chain([&mut self.outcomes]) {
             for weight in outcomes.values_mut() {
--- a/crates/simulator/src/scenario/error.rs
+++ b/crates/simulator/src/scenario/error.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use super::FaultKind;
+use super::fault::FaultKind;
 
 /// What is wrong with a scenario file: one line with file and place.
 #[derive(Debug, thiserror::Error)]
--- a/crates/simulator/src/simulation/backends.rs
+++ b/crates/simulator/src/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! Backends: what reaches them, what they complete, and the life of the processes.
+//! Backends: what reaches them, what they complete, and the starts and ends of the processes.
 
 use leadrelay_core::{EndpointState, Millis, Outcome};
 
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -98,11 +98,11 @@
     /// When the client gives up an attempt that it sends now.
     fn attempt_deadline(&self, index: RequestIndex) -> Millis {
         let request = &self.workload.requests[index];
-        let patience = self.workload.deadline(request.class);
-        let request_deadline = request.arrives_at + patience;
-        let deadline = (self.now() + patience * request.attempt_timeout).min(request_deadline);
+        let time_to_deadline = self.workload.deadline(request.class);
+        let request_deadline = request.arrives_at + time_to_deadline;
+        let deadline = (self.now() + time_to_deadline * request.attempt_timeout).min(request_deadline);
         match request.disconnects_after {
-            Some(fraction) => deadline.min(request.arrives_at + fraction * patience),
+            Some(fraction) => deadline.min(request.arrives_at + fraction * time_to_deadline),
             None => deadline,
         }
     }
--- a/crates/simulator/src/simulation/proxies.rs
+++ b/crates/simulator/src/simulation/proxies.rs
@@ -1,4 +1,4 @@
-//! Proxies: what reaches their policies, what these decide, and the life of the processes.
+//! Proxies: what reaches their policies, what these decide, and the starts and ends of the processes.
 
 use leadrelay_core::{Action, Endpoint, Event as ProxyEvent, Millis};
 use rustc_hash::FxHashMap;
--- a/crates/simulator/tests/command_line.rs
+++ b/crates/simulator/tests/command_line.rs
@@ -30,7 +30,7 @@
 fn run_prints_score_prices_and_outcomes() {
     let printed = text(&simulator(&["run", "headend.toml", "--seconds", "8"]).stdout);
     for expected in
-        ["headend seed 1 by core: G 0.", "where the worth went", "| served ", "prices: cross_zone"]
+        ["headend seed 1 by core: G 0.", "| weight by outcome |", "| served ", "prices: cross_zone"]
     {
         assert!(printed.contains(expected), "{expected} in {printed}");
     }
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -202,11 +202,11 @@
 fn faults_cause_their_outcomes() {
     let result =
         |name: &str| run(&small_workload(name, 5), Version::Baseline(BaselineKind::CurrentTrueState));
-    let calm = result("calm-mass.toml");
+    let fault_free = result("calm-mass.toml");
     let herd = result("herd-mass.toml");
     let split = result("split-mass.toml");
-    assert_eq!(weight(&calm, RequestOutcome::ProxyDown), 0.0);
-    assert_eq!(weight(&calm, RequestOutcome::NetworkPartition), 0.0);
+    assert_eq!(weight(&fault_free, RequestOutcome::ProxyDown), 0.0);
+    assert_eq!(weight(&fault_free, RequestOutcome::NetworkPartition), 0.0);
     assert!(weight(&herd, RequestOutcome::ProxyDown) > 0.0, "{:?}", herd.outcomes);
     assert!(weight(&split, RequestOutcome::NetworkPartition) > 0.0, "{:?}", split.outcomes);
 }
