--- a/crates/simulator/src/adapter/encode.rs
+++ b/crates/simulator/src/adapter/encode.rs
@@ -43,9 +43,9 @@
         "ceilings": {"mayTell": scenario.network.gossip_loss < 1.0, "maxAttempts": MAX_ATTEMPTS},
         "rules": {
             "startCapacity": rule.initial_capacity,
-            "cold": rule.duration_s * 1000.0,
+            "cold": rule.duration(),
             "fallMultiple": rule.overload_multiple,
-            "fall": rule.overload_window_s * 1000.0,
+            "fall": rule.overload_window(),
         },
     });
     let seed = seed >> SEED_BITS_DROPPED;
--- a/crates/simulator/src/commands/reconnect.rs
+++ b/crates/simulator/src/commands/reconnect.rs
@@ -7,6 +7,7 @@
 use super::{CommandError, Verdict};
 use crate::arguments::{positive, seed_count};
 use crate::table::table;
+use leadrelay_simulator::time::MS_PER_S;
 
 #[derive(Debug, Args)]
 pub struct Arguments {
@@ -114,7 +115,7 @@
 }
 
 fn seconds(ms: Option<f64>) -> String {
-    ms.map_or("never".into(), |ms| format!("{:.1}", ms / 1000.0))
+    ms.map_or("never".into(), |ms| format!("{:.1}", ms / MS_PER_S))
 }
 
 fn mean_count(results: &[StormResult], count: impl Fn(&StormResult) -> usize) -> String {
--- a/crates/simulator/src/discovery/queue.rs
+++ b/crates/simulator/src/discovery/queue.rs
@@ -2,6 +2,8 @@
 
 use leadrelay_core::Millis;
 
+use crate::time::MS_PER_S;
+
 /// Calls that are served in turn at a constant rate.
 #[derive(Clone, Copy, Debug)]
 pub struct CallQueue {
@@ -22,7 +24,7 @@
         if start - now > self.max_wait {
             return None;
         }
-        self.available_at = start + 1000.0 / self.calls_per_s;
+        self.available_at = start + MS_PER_S / self.calls_per_s;
         Some(self.available_at)
     }
 
--- a/crates/simulator/src/drain_rule.rs
+++ b/crates/simulator/src/drain_rule.rs
@@ -46,19 +46,6 @@
     Pushed,
 }
 
-impl NotificationBasis {
-    /// Its name in reports.
-    fn name(self) -> &'static str {
-        match self {
-            NotificationBasis::Written => "Written",
-            NotificationBasis::Assumed => "Assumed",
-            NotificationBasis::Stalled => "Silent",
-            NotificationBasis::Moved => "Moved",
-            NotificationBasis::Pushed => "Pushed",
-        }
-    }
-}
-
 /// Since when a change counts as notified to a proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NotifiedSince {
@@ -84,10 +71,9 @@
 impl fmt::Display for SendAfterDrain {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let SendAfterDrain { proxy, backend, notified, first_byte } = self;
-        let basis = notified.basis.name();
-        let at = notified.at;
+        let NotifiedSince { at, basis } = notified;
         let late_by = first_byte - at - MAX_SEND_DELAY;
-        write!(f, "proxy {proxy}, backend {backend}: known since {at:.0} ({basis}), ")?;
+        write!(f, "proxy {proxy}, backend {backend}: notified since {at:.0} ({basis:?}), ")?;
         write!(f, "first byte at {first_byte:.0}, {late_by:.0} ms too late")
     }
 }
--- a/crates/simulator/src/reconnect.rs
+++ b/crates/simulator/src/reconnect.rs
@@ -17,12 +17,10 @@
 use crate::discovery::CallQueue;
 use crate::index::{IndexedVec, ProxyIndex};
 use crate::random::RandomStream;
-use crate::time::OrderedTime;
+use crate::time::{MS_PER_S, OrderedTime};
 
 /// A change counts as notified this time after discovery had it.
 const NOTIFIED_AFTER: Millis = 6000.0;
-/// The length of the busiest window.
-const SECOND: Millis = 1000.0;
 
 /// The service and how proxies wait for it.
 #[derive(Clone, Copy, Debug)]
@@ -219,7 +217,7 @@
 
     fn max_calls_per_s(&self) -> usize {
         let within_a_second = |(first, start): (usize, &Millis)| {
-            self.call_times[first..].iter().take_while(|at| **at < start + SECOND).count()
+            self.call_times[first..].iter().take_while(|at| **at < start + MS_PER_S).count()
         };
         self.call_times.iter().enumerate().map(within_a_second).max().unwrap_or(0)
     }
--- a/crates/simulator/src/report/result.rs
+++ b/crates/simulator/src/report/result.rs
@@ -7,6 +7,7 @@
 use super::{Counters, Recorder, RequestOutcome, RequestRecord, Violation};
 use crate::index::{ClassIndex, IndexedVec, TenantIndex};
 use crate::slow_start::SlowStartReport;
+use crate::time::MS_PER_S;
 use crate::workload::{Request, Workload};
 
 /// The window of the worst service, in seconds.
@@ -163,7 +164,7 @@
 impl Totals {
     fn new(workload: &Workload) -> Self {
         let scenario = &workload.scenario;
-        let seconds = (workload.duration / 1000.0).ceil() as usize;
+        let seconds = (workload.duration / MS_PER_S).ceil() as usize;
         Totals {
             run: Service::default(),
             by_class: vec![Service::default(); scenario.classes.len()].into(),
@@ -184,7 +185,7 @@
         if record.within_quota {
             self.by_tenant[request.tenant].add(weight, is_served);
         }
-        let second = ((request.arrives_at / 1000.0) as usize).min(self.by_second.len() - 1);
+        let second = ((request.arrives_at / MS_PER_S) as usize).min(self.by_second.len() - 1);
         self.by_second[second].add(weight, is_served);
         *self.outcomes.entry(record.outcome).or_default() += weight;
         for (dimension, value) in dimensions(workload, record, request) {
@@ -223,7 +224,7 @@
         (Dimension::Zone, scenario.zones[request.zone.0].clone()),
         (Dimension::Proxy, record.proxy.to_string()),
         (Dimension::Backend, backend),
-        (Dimension::Second, format!("{:.0}", (request.arrives_at / 1000.0).floor())),
+        (Dimension::Second, format!("{:.0}", (request.arrives_at / MS_PER_S).floor())),
     ]
 }
 
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -13,10 +13,12 @@
 pub use fault::{FaultKind, FaultSpec};
 pub use parameters::{ContentionSpec, HandshakeSpec, KeyCacheSpec, KeyPopularity, SlowStartSpec};
 
+use leadrelay_core::Millis;
 use serde::Deserialize;
 
 use crate::discovery::OutageMode;
 use crate::random::Range;
+use crate::time::MS_PER_S;
 
 /// A kind of run. The unit of a time is part of its name; speeds are relative to a standard core.
 #[derive(Clone, Debug, Deserialize)]
@@ -168,6 +170,18 @@
     pub overload_window_s: f64,
 }
 
+impl SlowStartRule {
+    /// The time after which a backend has all of its capacity, as proxies are configured.
+    pub fn duration(&self) -> Millis {
+        self.duration_s * MS_PER_S
+    }
+
+    /// The time within which too much work overloads a backend.
+    pub fn overload_window(&self) -> Millis {
+        self.overload_window_s * MS_PER_S
+    }
+}
+
 /// A class of machines.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
--- a/crates/simulator/src/settings.rs
+++ b/crates/simulator/src/settings.rs
@@ -70,9 +70,9 @@
         drain_grace: DRAIN_GRACE,
         notified_without_watch: NOTIFIED_WITHOUT_WATCH,
         initial_capacity: slow_start.initial_capacity,
-        slow_start_window: slow_start.duration_s * 1000.0,
+        slow_start_window: slow_start.duration(),
         overload_multiple: slow_start.overload_multiple,
-        overload_window: slow_start.overload_window_s * 1000.0,
+        overload_window: slow_start.overload_window(),
         max_open_requests: MAX_OPEN_REQUESTS,
         max_attempts: MAX_ATTEMPTS as u32,
     }
--- a/crates/simulator/src/simulation/backends.rs
+++ b/crates/simulator/src/simulation/backends.rs
@@ -106,8 +106,7 @@
         // By the mean work of its class: no proxy can know the work of one request, and the rule leaves slack for it.
         let mean_work = workload.mean_work_by_class[class];
         let rule = &workload.scenario.slow_start;
-        let limit =
-            OverloadLimit { multiple: rule.overload_multiple, window: rule.overload_window_s * 1000.0 };
+        let limit = OverloadLimit { multiple: rule.overload_multiple, window: rule.overload_window() };
         if self.backends[backend].record_slow_start_work(now, mean_work, limit) {
             let overload = self.backends[backend].describe_overload();
             self.record_violation(Rule::NoSlowStartOverload, format!("backend {backend}: {overload}"));
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -175,7 +175,10 @@
             return;
         }
         if !disconnects {
-            self.record_violation(Rule::AnswerBeforeTimeout, format!("request {request}, try {index}"));
+            self.record_violation(
+                Rule::AnswerBeforeTimeout,
+                format!("request {request}, client attempt {index}"),
+            );
         }
         self.deliver(proxy, ProxyEvent::ClientClosed(request_id(index)));
     }
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -8,6 +8,7 @@
 use crate::index::{BackendIndex, FaultIndex, Index, ProxyIndex, ZoneIndex};
 use crate::random::RandomStream;
 use crate::scenario::FaultKind;
+use crate::time::MS_PER_S;
 use crate::workload::Fault;
 
 /// A proxy that restarts by plan takes requests for this time after clients are sent elsewhere.
@@ -100,14 +101,14 @@
         for proxy in self.affected_proxies(index, fault) {
             self.proxy_stops(proxy);
             let spread = 1.0 + RECOVERY_SPREAD * self.random.unit();
-            let downtime = fault.magnitude * 1000.0 * spread;
+            let downtime = fault.magnitude * MS_PER_S * spread;
             self.events.schedule_after(downtime, Event::ProxyRecovers(proxy));
         }
     }
 
     fn roll_proxies(&mut self, fault: &Fault) {
         let count = self.proxies.len() as f64;
-        let downtime = fault.magnitude * 1000.0;
+        let downtime = fault.magnitude * MS_PER_S;
         for proxy in self.proxies.indices() {
             let at = evenly_spaced(fault, proxy.0, count);
             let stops_at = at + PROXY_DRAIN_PERIOD;
@@ -143,7 +144,7 @@
             let at = evenly_spaced(fault, position, count);
             self.events.schedule_at(at, Event::BackendDrains(backend));
             if fault.magnitude > 0.0 {
-                let stops_at = at + fault.magnitude * 1000.0;
+                let stops_at = at + fault.magnitude * MS_PER_S;
                 self.events.schedule_at(stops_at, Event::BackendRemoved(backend));
             }
         }
--- a/crates/simulator/src/simulation/invariants.rs
+++ b/crates/simulator/src/simulation/invariants.rs
@@ -16,7 +16,7 @@
 
     /// Checks a send against the rules on attempts.
     pub(super) fn check_send(&mut self, index: ClientAttemptIndex, backend: BackendIndex) {
-        let details = format!("try {index}, backend {backend}");
+        let details = format!("client attempt {index}, backend {backend}");
         let attempts = &self.clients.attempts[index].attempts;
         let is_one_in_flight = attempts.iter().any(|attempt| !self.attempts[*attempt].ended);
         let has_max_attempts = attempts.len() >= MAX_ATTEMPTS;
@@ -62,7 +62,7 @@
         let may_have_run = client_attempt.attempts.iter().any(|attempt| self.attempts[*attempt].may_have_run);
         let is_idempotent = self.workload.idempotency(class) == RequestIdempotency::Idempotent;
         if matches!(answer, Answer::Rejected { .. }) && may_have_run && !is_idempotent {
-            self.record_violation(Rule::RejectOnlyUnexecuted, format!("try {index}"));
+            self.record_violation(Rule::RejectOnlyUnexecuted, format!("client attempt {index}"));
         }
     }
 }
--- a/crates/simulator/src/simulation/proxies.rs
+++ b/crates/simulator/src/simulation/proxies.rs
@@ -100,7 +100,7 @@
     fn answer(&mut self, index: ClientAttemptIndex, answer: Answer) {
         let client_attempt = &mut self.clients.attempts[index];
         if std::mem::replace(&mut client_attempt.answered, true) {
-            return self.record_violation(Rule::OneFinalAnswer, format!("try {index}"));
+            return self.record_violation(Rule::OneFinalAnswer, format!("client attempt {index}"));
         }
         self.check_answer(index, answer);
         self.send_to_client(index, answer);
--- a/crates/simulator/src/simulation/quotas.rs
+++ b/crates/simulator/src/simulation/quotas.rs
@@ -3,6 +3,7 @@
 use leadrelay_core::Millis;
 
 use crate::index::{IndexedVec, TenantIndex};
+use crate::time::MS_PER_S;
 
 /// A token bucket that holds what a second adds to it.
 struct TokenBucket {
@@ -13,7 +14,7 @@
 
 impl TokenBucket {
     fn take(&mut self, now: Millis) -> bool {
-        let added = self.tokens_per_s * (now - self.updated_at) / 1000.0;
+        let added = self.tokens_per_s * (now - self.updated_at) / MS_PER_S;
         self.tokens = (self.tokens + added).min(self.tokens_per_s.max(1.0));
         self.updated_at = now;
         let is_available = self.tokens >= 1.0;
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -12,6 +12,7 @@
 
 use crate::backend::Backend;
 use crate::index::{BackendIndex, ClassIndex, IndexedVec};
+use crate::scenario::SlowStartRule;
 use crate::workload::Workload;
 
 /// The fraction of an overload beyond which the notified proxies are at fault.
@@ -39,7 +40,7 @@
 /// One count against the capacity by the settings and against the true one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LoadRatios {
-    /// By the least capacity that the settings promise.
+    /// By the least capacity by the settings.
     #[serde(rename = "settings")]
     pub by_settings: MaxRatio,
     /// By the true capacity.
@@ -124,12 +125,12 @@
     pub fn record(&mut self, workload: &Workload, backend: &Backend, request: ReceivedRequest) {
         let rule = &workload.scenario.slow_start;
         let age = request.at - backend.started_at;
-        let duration = rule.duration_s * 1000.0;
+        let duration = rule.duration();
         if age >= duration {
             return;
         }
         let mean_work = workload.mean_work();
-        let window = rule.overload_window_s * 1000.0;
+        let window = rule.overload_window();
         let requests = workload.mean_work_by_class[request.class] / mean_work;
         let sent = Sent { at: request.at, requests, by_notified: request.by_notified };
         let recent = Self::recent(&mut self.backends, &mut self.report, request.backend, backend);
@@ -137,13 +138,10 @@
         let all = recent.total();
         let notified = recent.total_from_notified();
 
-        let allowed = |capacity: f64| {
-            let mean = rule.overload_multiple * capacity * window / mean_work;
-            mean + 2.0 * mean.sqrt() + 2.0
-        };
         let machine = &backend.machine;
-        let promised_factor = rule.initial_capacity + (1.0 - rule.initial_capacity) * age / duration;
-        let allowed_by_settings = allowed(machine.cores * machine.speed * promised_factor);
+        let configured_factor = rule.initial_capacity + (1.0 - rule.initial_capacity) * age / duration;
+        let configured_capacity = machine.cores * machine.speed * configured_factor;
+        let allowed_by_settings = allowed_requests(rule, configured_capacity, mean_work);
         let report = &mut self.report;
         report.windows += 1;
         report.from_notified.by_settings.record(notified / allowed_by_settings);
@@ -153,7 +151,7 @@
             report.proxies_at_fault += 1;
         }
         if backend.is_warming_up(request.at) {
-            let allowed_truly = allowed(backend.capacity(request.at));
+            let allowed_truly = allowed_requests(rule, backend.capacity(request.at), mean_work);
             report.from_all.by_true_capacity.record(all / allowed_truly);
             report.from_notified.by_true_capacity.record(notified / allowed_truly);
         }
@@ -180,3 +178,10 @@
         self.report
     }
 }
+
+/// Requests of mean work that a backend of this capacity may get within the overload window.
+fn allowed_requests(rule: &SlowStartRule, capacity: f64, mean_work: Millis) -> f64 {
+    let window = rule.overload_window();
+    let mean = rule.overload_multiple * capacity * window / mean_work;
+    mean + 2.0 * mean.sqrt() + 2.0
+}
--- a/crates/simulator/src/time.rs
+++ b/crates/simulator/src/time.rs
@@ -1,9 +1,12 @@
-//! Points in time that can be ordered in a heap.
+//! Units of time, and points in time that can be ordered in a heap.
 
 use std::cmp::Ordering;
 
 use leadrelay_core::Millis;
 
+/// Milliseconds in a second.
+pub const MS_PER_S: f64 = 1000.0;
+
 /// A point in time with a total order.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OrderedTime(pub Millis);
--- a/crates/simulator/src/workload/fleet.rs
+++ b/crates/simulator/src/workload/fleet.rs
@@ -6,6 +6,7 @@
 use crate::index::{BackendIndex, IndexedVec, MachineClassIndex, ProxyIndex, ZoneIndex};
 use crate::random::RandomStream;
 use crate::scenario::Scenario;
+use crate::time::MS_PER_S;
 
 /// Backends that deduplicate each other's requests.
 const CELL_SIZE: usize = 4;
@@ -24,7 +25,7 @@
     let spec = &scenario.key_cache;
     let key_cache = KeyCacheParameters {
         saving: random.in_range(spec.saving),
-        retention: random.in_range(spec.retention_s) * 1000.0,
+        retention: random.in_range(spec.retention_s) * MS_PER_S,
         capacity: random.in_range(spec.capacity) as usize,
     };
     let sample = |(number, &class): (usize, &usize)| {
@@ -58,7 +59,7 @@
             initial_capacity: random
                 .in_range(class.slow_start.initial_capacity)
                 .clamp(MIN_INITIAL_CAPACITY, 1.0),
-            duration: (random.in_range(class.slow_start.duration_s) * 1000.0).max(1.0),
+            duration: (random.in_range(class.slow_start.duration_s) * MS_PER_S).max(1.0),
         },
         error_rate: random.in_range(class.error_rate),
         max_connections: random.in_range(scenario.network.max_connections) as usize,
--- a/crates/simulator/src/workload/mod.rs
+++ b/crates/simulator/src/workload/mod.rs
@@ -12,6 +12,7 @@
 };
 use crate::random::RandomStream;
 use crate::scenario::{FaultKind, FaultSpec, RequestIdempotency, Scenario};
+use crate::time::MS_PER_S;
 
 /// What a backend runs on.
 #[derive(Clone, Debug)]
@@ -125,7 +126,7 @@
 impl Fault {
     fn sample(spec: &FaultSpec, run: Millis, random: &mut RandomStream) -> Self {
         let start = random.in_range(spec.start) * run;
-        let end = start + random.in_range(spec.duration_s) * 1000.0;
+        let end = start + random.in_range(spec.duration_s) * MS_PER_S;
         let fraction = random.in_range(spec.fraction);
         let magnitude = random.in_range(spec.magnitude);
         Fault { kind: spec.kind, start, end, fraction, magnitude }
@@ -201,7 +202,7 @@
         let skew = random.in_range(scenario.zone_skew);
         let proxies = fleet::sample_proxies(scenario, &mut random);
         let zone_fractions = fleet::sample_zone_fractions(scenario.zones.len(), skew, &mut random);
-        let duration = scenario.duration_s * 1000.0;
+        let duration = scenario.duration_s * MS_PER_S;
         let mut fault_random = RandomStream::new(seed, "faults");
         let sample_fault = |spec| Fault::sample(spec, duration, &mut fault_random);
         let faults = scenario.faults.iter().map(sample_fault).collect();
@@ -224,10 +225,10 @@
             },
             handshake_work: random.in_range(network.handshake.work_ms),
             discovery: DiscoverySpeed {
-                propagation_delay: random.in_range(scenario.discovery.propagation_delay_s) * 1000.0,
+                propagation_delay: random.in_range(scenario.discovery.propagation_delay_s) * MS_PER_S,
                 calls_per_s: random.in_range(scenario.discovery.calls_per_s).max(0.1),
             },
-            front_detection: random.in_range(scenario.clients.front_detection_s) * 1000.0,
+            front_detection: random.in_range(scenario.clients.front_detection_s) * MS_PER_S,
             retry_backoff: random.in_range(scenario.clients.backoff_ms),
             capacity,
             mean_work_by_class: IndexedVec::default(),
--- a/crates/simulator/src/workload/requests.rs
+++ b/crates/simulator/src/workload/requests.rs
@@ -6,6 +6,7 @@
 use crate::index::{ClassIndex, IndexedVec, TenantIndex, ZoneIndex};
 use crate::random::{RandomStream, Zipf};
 use crate::scenario::{FaultKind, Scenario};
+use crate::time::MS_PER_S;
 
 /// What requests are sampled from.
 struct RequestSampler<'a> {
@@ -30,7 +31,7 @@
 impl RequestSampler<'_> {
     fn next_arrival(&mut self, previous: Millis, max_rate: f64) -> Option<Arrival> {
         let at = previous + self.random.exponential() / max_rate;
-        if at >= self.scenario.duration_s * 1000.0 {
+        if at >= self.scenario.duration_s * MS_PER_S {
             return None;
         }
         Some(Arrival {
@@ -112,7 +113,7 @@
     fn sample_quotas(&mut self, requests_per_ms: f64, random: &mut RandomStream) {
         let total_share = total_tenant_share(&self.scenario);
         for tenant in &self.scenario.tenants {
-            let usual_per_s = requests_per_ms * 1000.0 * tenant.share / total_share.max(1e-9);
+            let usual_per_s = requests_per_ms * MS_PER_S * tenant.share / total_share.max(1e-9);
             self.tenant_quotas.push(usual_per_s * random.in_range(tenant.quota));
         }
     }
--- a/crates/simulator/tests/drain_rule.rs
+++ b/crates/simulator/tests/drain_rule.rs
@@ -51,7 +51,7 @@
     let violation = rule.check(PROXY, BACKEND, 12_551.0).expect_err("it is too late").to_string();
     assert_eq!(
         violation,
-        "proxy 0, backend 7: known since 10500 (Written), first byte at 12551, 1 ms too late"
+        "proxy 0, backend 7: notified since 10500 (Written), first byte at 12551, 1 ms too late"
     );
 }
 
