--- a/crates/core/src/settings/json.rs
+++ b/crates/core/src/settings/json.rs
@@ -73,43 +73,87 @@
     }
 }
 
-/// What settings lack or say wrongly; a proxy that runs takes nothing from those with a fault.
-pub fn faults(all: &Value) -> Vec<String> {
-    let positive = |value: &Value| value.as_f64().is_some_and(|x| x.is_finite() && x > 0.0);
-    let (mut names, mut faults): (Vec<&str>, Vec<String>) = Default::default();
-    if list(all, "classes").is_empty() {
-        faults.push("'classes': there are none".into());
+/// Something that is missing or wrong in the settings; a proxy that runs takes nothing from settings with an error.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum SettingsError {
+    /// There is no class.
+    #[error("'classes': there are none")]
+    NoClasses,
+    /// A class, by its position, has no name.
+    #[error("class {0} has no name")]
+    UnnamedClass(usize),
+    /// Two classes have one name.
+    #[error("class '{0}' stands twice")]
+    DuplicateClass(String),
+    /// A number of a class is missing or not positive.
+    #[error("class '{class}': {key} is no positive number")]
+    NotPositive {
+        /// The class.
+        class: String,
+        /// The key.
+        key: &'static str,
+    },
+    /// The scope of a class with idempotency keys is unknown.
+    #[error("class '{0}': dedupScope is none of all, zone, cell")]
+    UnknownScope(String),
+    /// A class is neither idempotent nor deduplicated nor executed at most once.
+    #[error("class '{class}': effect '{effect}' is none of idempotent, deduplicated, at_most_once")]
+    UnknownEffect {
+        /// The class.
+        class: String,
+        /// What it says.
+        effect: String,
+    },
+    /// The number of attempts is missing or zero.
+    #[error("ceilings.maxAttempts is no positive number")]
+    NoAttempts,
+}
+
+/// Everything that is missing or wrong in the settings.
+pub fn validate(all: &Value) -> Vec<SettingsError> {
+    let mut errors = Vec::new();
+    let classes = list(all, "classes");
+    if classes.is_empty() {
+        errors.push(SettingsError::NoClasses);
     }
-    for (n, class) in list(all, "classes").iter().enumerate() {
+    for (position, class) in classes.iter().enumerate() {
         let name = text(class, "name");
         if name.is_empty() {
-            faults.push(format!("class {n} has no name"));
-        } else if names.contains(&name) {
-            faults.push(format!("class '{name}' stands twice"));
-        }
-        names.push(name);
-        for key in ["deadline", "promise", "worth"].into_iter().filter(|key| !positive(&class[key])) {
-            faults.push(format!("class '{name}': {key} is no positive number"));
+            errors.push(SettingsError::UnnamedClass(position));
+        } else if classes[..position].iter().any(|earlier| text(earlier, "name") == name) {
+            errors.push(SettingsError::DuplicateClass(name.to_owned()));
         }
-        match text(class, "effect") {
-            "idempotent" | "at_most_once" => {}
-            "deduplicated" => {
-                if !matches!(text(class, "dedupScope"), "all" | "zone" | "cell") {
-                    faults.push(format!("class '{name}': dedupScope is none of all, zone, cell"));
-                }
-                if !positive(&class["window"]) {
-                    faults.push(format!("class '{name}': window is no positive number"));
-                }
+        validate_class(name, class, &mut errors);
+    }
+    if all["ceilings"]["maxAttempts"].as_u64().is_none_or(|attempts| attempts == 0) {
+        errors.push(SettingsError::NoAttempts);
+    }
+    errors
+}
+
+fn validate_class(name: &str, class: &Value, errors: &mut Vec<SettingsError>) {
+    for key in ["deadline", "promise", "worth"] {
+        validate_positive(name, class, key, errors);
+    }
+    match text(class, "effect") {
+        "idempotent" | "at_most_once" => {}
+        "deduplicated" => {
+            if !matches!(text(class, "dedupScope"), "all" | "zone" | "cell") {
+                errors.push(SettingsError::UnknownScope(name.to_owned()));
             }
-            other => faults.push(format!(
-                "class '{name}': effect '{other}' is none of idempotent, deduplicated, at_most_once"
-            )),
+            validate_positive(name, class, "window", errors);
+        }
+        effect => {
+            errors.push(SettingsError::UnknownEffect { class: name.to_owned(), effect: effect.to_owned() })
         }
     }
-    if all["ceilings"]["maxAttempts"].as_u64().is_none_or(|n| n == 0) {
-        faults.push("ceilings.maxAttempts is no positive number".into());
+}
+
+fn validate_positive(name: &str, class: &Value, key: &'static str, errors: &mut Vec<SettingsError>) {
+    let is_positive = class[key].as_f64().is_some_and(|number| number.is_finite() && number > 0.0);
+    if !is_positive {
+        errors.push(SettingsError::NotPositive { class: name.to_owned(), key });
     }
-    faults
 }
 
 /// Reads the settings; what is missing gets the careful default.
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -55,7 +55,8 @@
 
 /// What is wrong with the settings of a file. A process that starts bears more than this: it fills in what is missing.
 fn strict(raw: &Value) -> Result<(), Vec<Fault>> {
-    let faults: Vec<Fault> = settings::faults(&raw["settings"]).into_iter().map(plain).collect();
+    let faults: Vec<Fault> =
+        settings::validate(&raw["settings"]).iter().map(|error| plain(error.to_string())).collect();
     if faults.is_empty() { Ok(()) } else { Err(faults) }
 }
 
