--- a/crates/proxy/src/access_record.rs
+++ b/crates/proxy/src/access_record.rs
@@ -97,3 +97,6 @@
     let micros = (duration.as_secs_f64() * 1e6).round();
     micros / 1e3
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/frontend/connection.rs
+++ b/crates/proxy/src/frontend/connection.rs
@@ -33,13 +33,18 @@
     CloseTimedOut,
 }
 
-/// How a connection that has been asked to close does so.
-enum CloseMode {
-    Immediate,
-    /// Its incomplete request has been rejected, and the client may still be sending.
+/// What a connection's task does next.
+enum NextStep {
+    /// Go on serving.
+    Serve,
+    /// Close with the response to the current request, if there is one.
+    ShutDownGracefully,
+    /// Go on shutting down: the current request has no response yet.
+    ExtendCloseTimeout,
+    /// Read what the client may still be sending, then close.
     Linger,
-    /// With the response to its current request, if there is one.
-    Graceful,
+    /// Close at once.
+    Close,
 }
 
 impl Frontend {
@@ -59,30 +64,16 @@
         tokio::pin!(connection);
         let mut close_deadline = None;
         loop {
-            match next_event(client, connection.as_mut(), close_deadline).await {
-                ConnectionEvent::Ended(result) => {
-                    client.record_close_reason(close_reason(&result));
-                    break;
+            let event = next_event(client, connection.as_mut(), close_deadline).await;
+            match client.next_step(event) {
+                NextStep::Serve => {}
+                NextStep::ShutDownGracefully => {
+                    connection.as_mut().graceful_shutdown();
+                    close_deadline = close_deadline.or(Some(Instant::now() + CLOSE_TIMEOUT));
                 }
-                ConnectionEvent::CloseRequested => match client.begin_close() {
-                    CloseMode::Immediate => return,
-                    CloseMode::Linger => break,
-                    CloseMode::Graceful => {
-                        connection.as_mut().graceful_shutdown();
-                        close_deadline = close_deadline.or(Some(Instant::now() + CLOSE_TIMEOUT));
-                    }
-                },
-                ConnectionEvent::WriteTimedOut if client.is_write_stalled() => {
-                    info!(client = %client.address, "client write timed out");
-                    client.record_close_reason(ClientClose::WriteTimeout);
-                    return;
-                }
-                ConnectionEvent::WriteTimedOut => {}
-                ConnectionEvent::CloseTimedOut if client.stage.get() != Stage::InFlight => {
-                    client.record_close_reason(ClientClose::CloseTimeout);
-                    return;
-                }
-                ConnectionEvent::CloseTimedOut => close_deadline = Some(Instant::now() + CLOSE_TIMEOUT),
+                NextStep::ExtendCloseTimeout => close_deadline = Some(Instant::now() + CLOSE_TIMEOUT),
+                NextStep::Linger => break,
+                NextStep::Close => return,
             }
         }
         // Hyper has answered malformed requests; a client that has closed its side needs nothing.
@@ -122,17 +113,41 @@
 }
 
 impl Client {
+    /// What an event leads to; records why the connection is closed.
+    fn next_step(&self, event: ConnectionEvent) -> NextStep {
+        match event {
+            ConnectionEvent::Ended(result) => {
+                self.record_close_reason(close_reason(&result));
+                NextStep::Linger
+            }
+            ConnectionEvent::CloseRequested => self.begin_close(),
+            ConnectionEvent::WriteTimedOut if self.is_write_stalled() => {
+                info!(client = %self.address, "client write timed out");
+                self.record_close_reason(ClientClose::WriteTimeout);
+                NextStep::Close
+            }
+            ConnectionEvent::WriteTimedOut => NextStep::Serve,
+            ConnectionEvent::CloseTimedOut if self.stage.get() == Stage::InFlight => {
+                NextStep::ExtendCloseTimeout
+            }
+            ConnectionEvent::CloseTimedOut => {
+                self.record_close_reason(ClientClose::CloseTimeout);
+                NextStep::Close
+            }
+        }
+    }
+
     /// Begins to close the connection, as its stage allows.
-    fn begin_close(&self) -> CloseMode {
+    fn begin_close(&self) -> NextStep {
         match self.stage.get() {
-            Stage::New => CloseMode::Immediate,
+            Stage::New => NextStep::Close,
             // Its last byte may have been written, and then a response is owed.
             Stage::ReadingHead => {
                 let overdue = self.request_deadline.get() <= Instant::now();
                 reject_incomplete(&self.stream, overdue);
-                CloseMode::Linger
+                NextStep::Linger
             }
-            Stage::Lingering | Stage::Idle | Stage::InFlight => CloseMode::Graceful,
+            Stage::Lingering | Stage::Idle | Stage::InFlight => NextStep::ShutDownGracefully,
         }
     }
 
--- a/crates/proxy/src/open_ids.rs
+++ b/crates/proxy/src/open_ids.rs
@@ -29,3 +29,6 @@
         self.ids.0.borrow_mut().remove(&self.id);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/rejection.rs
+++ b/crates/proxy/src/rejection.rs
@@ -80,3 +80,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/proxy/src/upstream/tests/units.rs
+++ b/crates/proxy/src/upstream/tests/units.rs
@@ -1,6 +1,7 @@
 //! Parts of an attempt by themselves, without connections.
 
 use std::cell::Cell;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -10,14 +11,21 @@
 use tokio::time::Instant;
 
 use super::{list_valid_until, pending, upstream_request};
+use crate::upstream::dial::ConnectError;
 use crate::upstream::endpoint::{UpstreamEndpoint, choose_idle};
 use crate::upstream::guard::SendGuard;
 use crate::upstream::headers::remove_hop_by_hop;
 use crate::upstream::keep_alive::KeepAlive;
 use crate::upstream::request::UpstreamRequest;
+use crate::upstream::request_framing::{RequestFraming, UNKNOWN_LENGTH};
 use crate::upstream::request_progress::RequestProgress;
 use crate::upstream::request_state::RequestState;
 
+/// ENOMEM, ENFILE, EMFILE, EADDRINUSE, EADDRNOTAVAIL, ENOBUFS.
+const LOCAL_ERRORS: [i32; 6] = [12, 23, 24, 98, 99, 105];
+/// ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH.
+const REMOTE_ERRORS: [i32; 4] = [104, 110, 111, 113];
+
 /// A request that has been started on a connection, and what its guard looks up.
 struct StartedRequest {
     progress: RequestProgress,
@@ -172,3 +180,26 @@
     assert_eq!(chosen(&[900, 6, 5]), Some(0));
     assert_eq!(chosen(&[15, 6, 5]), Some(0));
 }
+
+#[test]
+fn chunked_request_is_complete_with_its_last_chunk() {
+    let framing = RequestFraming::default();
+    framing.start(UNKNOWN_LENGTH);
+    framing.advance(b"POST /x HTTP/1.1\r\n\r\n4\r\nbody\r\n");
+    assert!(!framing.is_complete());
+    framing.body_taken();
+    assert!(!framing.is_complete());
+    framing.advance(b"0\r\n\r\n");
+    assert!(framing.is_complete());
+}
+
+#[test]
+fn connect_error_is_local_only_if_this_machine_lacks_something() {
+    let connect_error = |number| ConnectError::from(io::Error::from_raw_os_error(number));
+    for number in LOCAL_ERRORS {
+        assert!(matches!(connect_error(number), ConnectError::Local(_)), "{number}");
+    }
+    for number in REMOTE_ERRORS {
+        assert!(matches!(connect_error(number), ConnectError::Remote(_)), "{number}");
+    }
+}
