--- a/crates/proxy/src/frontend/client.rs
+++ b/crates/proxy/src/frontend/client.rs
@@ -13,6 +13,7 @@
 use tokio::time::Instant;
 
 use super::REQUEST_TIMEOUT;
+use super::write_watchdog::WriteWatchdog;
 use crate::close_reason::ClientClose;
 use crate::socket::has_ended;
 
@@ -52,10 +53,8 @@
     pub(super) read_closed: Cell<bool>,
     /// The raw bytes of the head being read.
     pub(super) raw_head: RefCell<Vec<u8>>,
-    /// A response is being streamed to it.
-    pub(super) streaming: Cell<bool>,
-    /// When it last took bytes of a streamed response.
-    pub(super) last_write: Cell<Instant>,
+    /// Notices that it takes nothing of a streamed response.
+    pub(super) write_watchdog: WriteWatchdog,
     /// Asks the connection's task to close it.
     close: Notify,
     /// Why it is closed, once that is known.
@@ -84,8 +83,7 @@
             last_read: Cell::new(now),
             read_closed: Cell::new(false),
             raw_head: RefCell::default(),
-            streaming: Cell::new(false),
-            last_write: Cell::new(now),
+            write_watchdog: WriteWatchdog::new(now),
             close: Notify::new(),
             close_reason: Cell::new(None),
         }
--- a/crates/proxy/src/frontend/client_socket.rs
+++ b/crates/proxy/src/frontend/client_socket.rs
@@ -63,9 +63,7 @@
 impl AsyncWrite for ClientSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let written = ready!(poll_write(&self.client.stream, cx, bytes))?;
-        if self.client.streaming.get() {
-            self.client.last_write.set(Instant::now());
-        }
+        self.client.write_watchdog.record_write();
         Poll::Ready(Ok(written))
     }
 
--- a/crates/proxy/src/frontend/connection.rs
+++ b/crates/proxy/src/frontend/connection.rs
@@ -16,8 +16,6 @@
 use super::{Frontend, MAX_HEAD_BYTES};
 use crate::close_reason::ClientClose;
 
-/// A client that takes nothing of a streamed response for this long is disconnected.
-const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 /// A connection asked to close is cut after this time, unless a request is in flight.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -93,7 +91,7 @@
         result = connection => ConnectionEvent::Ended(result),
         () = client.close_requested() => ConnectionEvent::CloseRequested,
         // A streamed response that nobody reads would hold its backend's connection for ever.
-        () = sleep_until(client.last_write.get() + WRITE_TIMEOUT), if client.streaming.get() => {
+        () = sleep_until(client.write_watchdog.deadline()), if client.write_watchdog.is_streaming() => {
             ConnectionEvent::WriteTimedOut
         }
         // A response that nobody reads would hold its socket for ever.
@@ -121,7 +119,7 @@
                 NextStep::Linger
             }
             ConnectionEvent::CloseRequested => self.begin_close(),
-            ConnectionEvent::WriteTimedOut if self.is_write_stalled() => {
+            ConnectionEvent::WriteTimedOut if self.write_watchdog.has_expired() => {
                 info!(client = %self.address, "client write timed out");
                 self.record_close_reason(ClientClose::WriteTimeout);
                 NextStep::Close
@@ -150,8 +148,4 @@
             Stage::Lingering | Stage::Idle | Stage::InFlight => NextStep::ShutDownGracefully,
         }
     }
-
-    fn is_write_stalled(&self) -> bool {
-        self.streaming.get() && self.last_write.get().elapsed() >= WRITE_TIMEOUT
-    }
 }
--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -3,8 +3,9 @@
 //! The way of one request, from the accept to the final response:
 //!
 //! 1. `listener` accepts the connection within the `socket_limits` and adds it to the `connection_table`, by which
-//!    connections are evicted when sockets run short and closed when their time is up.
-//! 2. `connection` serves it: hyper reads and writes its `client_socket`, whose state is the `client`.
+//!    connections are evicted when sockets run short, and closed after their time-outs.
+//! 2. `connection` serves it: hyper reads and writes its `client_socket`, whose state is the `client`. The
+//!    `write_watchdog` notices a client that takes nothing of its response.
 //! 3. `service` is called for each request once its head is `received`. It rejects the request if too many are in
 //!    flight.
 //! 4. `admission` checks the head, and `body` receives the body, completely or up to what is buffered.
@@ -32,6 +33,7 @@
 mod service;
 mod shutdown;
 mod socket_limits;
+mod write_watchdog;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -58,11 +60,12 @@
 /// Longest head. Large enough for any client of the protocol, small enough for all connections at once.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 /// A request must be complete this long after its first byte, the first one this long after its connection was
-/// accepted: a client that sends nothing of use is owed an end within 3 s. A body that keeps a pace may take longer.
+/// accepted: a client that sends no complete request must get an error or a close within 3 s. A body that is sent fast
+/// enough may take longer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2400);
 /// An idle connection is closed after this time: some clients send one request and keep their connection for good.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(15);
-/// Interval between searches for connections whose time is up.
+/// Interval between searches for connections whose time-out has passed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a frontend shares with other parts of the proxy.
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Asks the connections whose time is up to close.
+    /// Asks the connections whose time-out has passed to close.
     fn close_expired(&self) {
         self.metrics.connected(self.connections.open(), self.upstreams.in_use());
         let now = Instant::now();
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Whether clients are asked to go elsewhere.
+    /// Whether responses ask clients to close their connections.
     fn draining(&self) -> bool {
         self.drained.get() || self.stopping.get()
     }
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -7,7 +7,6 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 use leadrelay_core::Millis;
-use tokio::time::Instant;
 
 use super::Frontend;
 use super::client::{Client, Stage};
@@ -60,12 +59,11 @@
     fn follow_stream(
         self: Rc<Self>, mut stream: BodyStream, ticket: RequestTicket, client: &Rc<Client>,
     ) -> BodyStream {
-        client.streaming.set(true);
-        client.last_write.set(Instant::now());
+        client.write_watchdog.start();
         let client = client.clone();
         stream.on_end(Box::new(move |complete| {
             ticket.end(if complete { Cause::Served } else { Cause::ResponseBroken });
-            client.streaming.set(false);
+            client.write_watchdog.stop();
             if complete {
                 self.set_stage(&client, Stage::Idle);
             }
--- a/crates/proxy/src/frontend/service.rs
+++ b/crates/proxy/src/frontend/service.rs
@@ -34,7 +34,7 @@
         // After a malformed request nobody knows where the next one would start.
         if overloaded || self.draining() || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
-        } else if !client.streaming.get() {
+        } else if !client.write_watchdog.is_streaming() {
             self.set_stage(client, Stage::Idle);
         }
         Ok(response)
