--- a/crates/proxy/src/handover/tests.rs
+++ b/crates/proxy/src/handover/tests.rs
@@ -59,3 +59,40 @@
     assert!(own.owner() && !own.leave());
     std::fs::remove_dir_all(folder).expect("it is there");
 }
+
+/// The file as version 0.2.0 writes it. Processes of other versions read and write this form: it must not change.
+const RECORDED_FILE: &str = include_str!("tests/recorded.json");
+
+/// The text of a file without its processes, which differ from run to run.
+fn without_processes(text: &str) -> String {
+    let (start, rest) = text.split_once("\"processes\":[").expect("processes");
+    let (_, end) = rest.split_once(']').expect("the end of processes");
+    format!("{start}{end}")
+}
+
+#[test]
+fn recorded_file_is_read_and_written_back_unchanged() {
+    let folder = folder("recorded");
+    let file = folder.join("leadrelay-n0.json");
+    std::fs::write(&file, RECORDED_FILE).expect("a file");
+    let (_, state) = Handover::open(&folder, "n0");
+    let state = state.expect("the recorded state");
+    assert!(state.drained);
+    assert_eq!(state.bans, [7, u64::MAX]);
+    assert_eq!(state.listed, [7, 8, u64::MAX]);
+    assert_eq!(state.hosts.len(), 2);
+    let first = serde_json::to_value(&state.hosts[0]).expect("JSON");
+    let expected = serde_json::json!({
+        "host": "s-1", "dial": "127.0.0.1:9001", "site": "a", "class": "m1", "block": 3,
+        "health": "up", "share": 1.5, "born_ms": 1_764_700_000_000.0_f64,
+    });
+    assert_eq!(first, expected);
+    assert_eq!(state.speeds.servers, [(7, (1.25, 10.0)), (8, (0.75, 4.5))]);
+    assert_eq!(state.speeds.classes["page"], (41.5, 100.0));
+    assert_eq!(state.speeds.kinds["m1"], ((0.5, 8.0), 3.25, 0.875));
+    assert_eq!(state.speeds.back, [(7, 1_764_700_001_000.0, 1_764_700_002_000.0)]);
+    assert_eq!(state.speeds.back_ages, [(7, 2000.0, 1000.5)]);
+    let written = std::fs::read_to_string(&file).expect("a file");
+    assert_eq!(without_processes(&written), without_processes(RECORDED_FILE));
+    std::fs::remove_dir_all(folder).expect("it is there");
+}
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -47,3 +47,19 @@
     assert_eq!((&report["members"], &report["members_unavailable"]), (&json!(7), &json!(2)));
     assert_eq!((&report["rejected"]["page"], &report["failed"]["page"]), (&json!(3), &json!(3)));
 }
+
+/// All lines of a text, sorted: the order of families, and of the samples of one, carries no meaning.
+fn sorted_lines(text: &str) -> Vec<&str> {
+    let mut lines: Vec<&str> = text.lines().collect();
+    lines.sort_unstable();
+    lines
+}
+
+#[test]
+fn names_types_help_texts_and_labels_are_as_recorded() {
+    let metrics = Arc::new(Metrics::default());
+    metrics.show("page");
+    let text = metrics.openmetrics();
+    assert!(text.ends_with("# EOF\n"));
+    assert_eq!(sorted_lines(&text), include_str!("tests/openmetrics.txt").lines().collect::<Vec<_>>());
+}
