--- a/crates/cli/tests/large_fleets.rs
+++ b/crates/cli/tests/large_fleets.rs
@@ -134,7 +134,7 @@
 fn heard(proxy: &Proxy) -> usize {
     let log = proxy.log.lock().expect("no panic");
     let count = |part: &str| part.split_whitespace().next().and_then(|n| n.parse::<usize>().ok());
-    log.split(" heard=").skip(1).filter_map(count).sum()
+    log.split(" gossip_received=").skip(1).filter_map(count).sum()
 }
 
 #[test]
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -238,7 +238,7 @@
     std::fs::rename(&file, &aside).expect("it is there");
     std::os::unix::fs::symlink(&file, &file).expect("a link to itself, which can't be read");
     let unreadable = || file.symlink_metadata().expect("it is there").is_symlink();
-    wait_for("a try to write", || !unreadable() || banned.old.said("the handover could not be written"));
+    wait_for("a try to write", || !unreadable() || banned.old.said("handover file not written"));
     if unreadable() {
         std::fs::rename(&aside, &file).expect("it is there");
     }
@@ -265,9 +265,9 @@
     let old = Proxy::up(&discovery, &setup);
     let new = Proxy::start(&discovery, &setup);
     wait_for("the new process", || new.call("GET /healthcheck").status() == 200);
-    wait_for("its word of the old one", || new.said("twin=true"));
+    wait_for("its word of the old one", || new.said("overlapping=true"));
     drop(old); // by SIGKILL
-    wait_for("its end at the new one", || new.said("twin=false"));
+    wait_for("its end at the new one", || new.said("overlapping=false"));
     std::fs::remove_dir_all(folder).expect("it is there");
 }
 
--- a/crates/cli/tests/proxy.rs
+++ b/crates/cli/tests/proxy.rs
@@ -523,7 +523,9 @@
     assert_eq!(text(&proxy).as_deref(), Some("one"));
     // What can't be read changes nothing.
     proxy.reload("{");
-    wait_for("a line about it", || proxy.said("stays as it was"));
+    wait_for("a line about it", || {
+        proxy.said("configuration not reloaded, the previous one stays in effect")
+    });
     // Twice in a row: the service in between never says a thing, and until the last one does the old list holds.
     proxy.reload(&config(second.address, &setup));
     wait_for("a watch of the second", || !second.asked.lock().unwrap().is_empty());
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,5 +1,5 @@
-//! The second address: figures and commands for the operators. It has a thread and a runtime of its own, so
-//! that a busy proxy answers in time too.
+//! The admin address: metrics and commands for operators. It has a thread and a runtime of its own, so that a busy proxy
+//! responds in time too.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -16,7 +16,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
@@ -26,140 +26,168 @@
 use crate::socket::Uninterrupted;
 
 /// Connections at a time; one more ends the oldest. A caller that finishes no call must not keep others out.
-const MOST: usize = 12;
-/// A call has to be over within this span of its connection: callers wait for 1 s.
-const CALL: Duration = Duration::from_millis(1500);
-/// The driver's word is waited for this long.
-const WORD: Duration = Duration::from_millis(900);
-/// Longest head of a call.
-const HEAD_SIZE: usize = 8 << 10;
-/// The type of the figures in the text form of OpenMetrics.
+const MAX_CONNECTIONS: usize = 12;
+/// A call must be over within this time of its connection: callers wait for 1 s.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Longest wait for the driver's reply to a command.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
+/// Longest head of a call, in bytes.
+const MAX_HEAD_SIZE: usize = 8 << 10;
+/// The content type of OpenMetrics.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Wait after a failed accept, lest it spin.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Wait after a failed accept, which would be repeated at once otherwise.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What an operator may ask of the proxy.
+/// What operators can command.
 #[derive(Debug, PartialEq)]
-pub enum Order {
-    /// Nothing more to this backend.
-    Maintain(String),
-    /// Use it again.
-    Ready(String),
-    /// Take no new clients, or take them again.
+pub enum Command {
+    /// Send no new requests to this endpoint.
+    StartMaintenance(String),
+    /// Use this endpoint again.
+    EndMaintenance(String),
+    /// Send clients elsewhere, or accept them again.
     Drain(bool),
 }
 
-/// An order, and where its yes or no goes once it holds.
-pub struct Command {
-    pub order: Order,
-    pub done: oneshot::Sender<bool>,
+/// A command, with the sender of the reply: whether it is in effect.
+pub struct CommandRequest {
+    pub command: Command,
+    pub reply: oneshot::Sender<bool>,
 }
 
-/// What a caller may reach.
+/// What calls are served from.
 #[derive(Clone)]
-pub struct Desk {
-    pub commands: mpsc::UnboundedSender<Command>,
+pub struct Service {
+    pub commands: mpsc::UnboundedSender<CommandRequest>,
     pub metrics: Arc<Metrics>,
 }
 
-/// Listens on the second address.
+/// Listens at the admin address.
 pub fn listen(address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Answers operators in a thread of its own; returns where.
-pub fn start(listener: std::net::TcpListener, desk: Desk) -> std::io::Result<SocketAddr> {
+/// Serves operators in a thread of its own; returns its address.
+pub fn start(listener: std::net::TcpListener, service: Service) -> std::io::Result<SocketAddr> {
     let address = listener.local_addr()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     std::thread::Builder::new().name("admin".into()).spawn(move || {
         runtime.block_on(async {
             match TcpListener::from_std(listener) {
-                Ok(listener) => serve(listener, desk).await,
-                Err(e) => error!(error = %e, "the second address is lost"),
+                Ok(listener) => serve(listener, service).await,
+                Err(error) => error!(%error, "admin listener lost"),
             }
         });
     })?;
     Ok(address)
 }
 
-async fn serve(listener: TcpListener, desk: Desk) {
-    let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
+async fn serve(listener: TcpListener, service: Service) {
+    let mut calls: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
-            Err(e) => {
-                warn!(error = %e, "accept failed on the second address");
-                sleep(PAUSE).await;
+            Err(error) => {
+                warn!(%error, "accept failed at the admin address");
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        callers.retain(|c| !c.is_finished());
-        if callers.len() >= MOST
-            && let Some(oldest) = callers.pop_front()
+        calls.retain(|call| !call.is_finished());
+        if calls.len() >= MAX_CONNECTIONS
+            && let Some(oldest) = calls.pop_front()
         {
             oldest.abort();
         }
-        let desk = desk.clone();
-        callers.push_back(tokio::spawn(async move {
-            let service = service_fn(move |request| {
-                let desk = desk.clone();
-                async move { Ok::<_, Infallible>(desk.answer(request).await) }
-            });
-            let connection = http1::Builder::new()
-                .keep_alive(false)
-                .header_read_timeout(None) // the whole call is bounded
-                .max_buf_size(HEAD_SIZE)
-                .serve_connection(TokioIo::new(Uninterrupted(stream)), service);
-            let _ = timeout(CALL, connection).await; // a caller that left or was too slow needs nothing
-        }));
+        calls.push_back(tokio::spawn(serve_connection(stream, service.clone())));
     }
 }
 
-impl Desk {
-    async fn answer(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn serve_connection(stream: TcpStream, service: Service) {
+    let service = service_fn(move |request| {
+        let service = service.clone();
+        async move { Ok::<_, Infallible>(service.respond(request).await) }
+    });
+    let connection = http1::Builder::new()
+        .keep_alive(false)
+        .header_read_timeout(None) // the whole call has a time-out
+        .max_buf_size(MAX_HEAD_SIZE)
+        .serve_connection(TokioIo::new(Uninterrupted(stream)), service);
+    let _ = timeout(CALL_TIMEOUT, connection).await; // nothing is owed to a caller that was too slow
+}
+
+impl Service {
+    async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
+        match Route::of(&request) {
+            Route::Readiness => self.readiness(),
+            Route::Stats => text_response("application/json", self.metrics.stats().to_string()),
+            Route::Metrics => text_response(OPENMETRICS, self.metrics.openmetrics()),
+            Route::Command(command) => self.carry_out(command).await,
+            Route::WrongMethod => status_response(StatusCode::METHOD_NOT_ALLOWED),
+            Route::Unknown => status_response(StatusCode::NOT_FOUND),
+        }
+    }
+
+    fn readiness(&self) -> Response<Full<Bytes>> {
+        let is_ready = self.metrics.ready.load(Relaxed);
+        status_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
+    }
+
+    async fn carry_out(&self, command: Command) -> Response<Full<Bytes>> {
+        info!(?command, "operator command received");
+        let (reply, replied) = oneshot::channel();
+        let sent = self.commands.send(CommandRequest { command, reply }).is_ok();
+        match timeout(REPLY_TIMEOUT, replied).await {
+            Ok(Ok(true)) if sent => status_response(StatusCode::OK),
+            Ok(Ok(_)) => status_response(StatusCode::NOT_FOUND),
+            // It may yet be carried out, but that can't be promised.
+            Ok(Err(_)) | Err(_) => status_response(StatusCode::SERVICE_UNAVAILABLE),
+        }
+    }
+}
+
+/// What a call asks for.
+enum Route {
+    Readiness,
+    Stats,
+    Metrics,
+    Command(Command),
+    WrongMethod,
+    Unknown,
+}
+
+impl Route {
+    fn of(request: &Request<Incoming>) -> Self {
         let path: Vec<&str> = request.uri().path().split('/').skip(1).collect();
-        let order = match (request.method(), path.as_slice()) {
-            (&Method::GET, ["healthcheck"]) => {
-                let ready = self.metrics.ready.load(Relaxed);
-                return plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
+        match (request.method(), path.as_slice()) {
+            (&Method::GET, ["healthcheck"]) => Route::Readiness,
+            (&Method::GET, ["stats"]) => Route::Stats,
+            (&Method::GET, ["metrics"]) => Route::Metrics,
+            (&Method::PUT, ["healthcheck", "fail"]) => Route::Command(Command::Drain(true)),
+            (&Method::PUT, ["healthcheck", "ok"]) => Route::Command(Command::Drain(false)),
+            (&Method::PUT, ["backends", name, "maint"]) => {
+                Route::Command(Command::StartMaintenance((*name).to_owned()))
             }
-            (&Method::GET, ["stats"]) => return text("application/json", self.metrics.report().to_string()),
-            (&Method::GET, ["metrics"]) => return text(OPENMETRICS, self.metrics.openmetrics()),
-            (&Method::PUT, ["healthcheck", "fail"]) => Order::Drain(true),
-            (&Method::PUT, ["healthcheck", "ok"]) => Order::Drain(false),
-            (&Method::PUT, ["backends", id, "maint"]) => Order::Maintain((*id).to_owned()),
-            (&Method::PUT, ["backends", id, "ready"]) => Order::Ready((*id).to_owned()),
-            (
-                _,
-                ["healthcheck" | "stats" | "metrics"]
-                | ["healthcheck", "fail" | "ok"]
-                | ["backends", _, "maint" | "ready"],
-            ) => {
-                return plain(StatusCode::METHOD_NOT_ALLOWED);
+            (&Method::PUT, ["backends", name, "ready"]) => {
+                Route::Command(Command::EndMaintenance((*name).to_owned()))
             }
-            _ => return plain(StatusCode::NOT_FOUND),
-        };
-        info!(?order, "an operator asks");
-        let (done, word) = oneshot::channel();
-        let sent = self.commands.send(Command { order, done }).is_ok();
-        match timeout(WORD, word).await {
-            Ok(Ok(true)) if sent => plain(StatusCode::OK),
-            Ok(Ok(_)) => plain(StatusCode::NOT_FOUND),
-            // It may yet be carried out, but nobody can promise that.
-            Ok(Err(_)) | Err(_) => plain(StatusCode::SERVICE_UNAVAILABLE),
+            (_, ["healthcheck" | "stats" | "metrics"])
+            | (_, ["healthcheck", "fail" | "ok"])
+            | (_, ["backends", _, "maint" | "ready"]) => Route::WrongMethod,
+            _ => Route::Unknown,
         }
     }
 }
 
-fn text(kind: &'static str, text: String) -> Response<Full<Bytes>> {
+fn text_response(content_type: &'static str, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn status_response(status: StatusCode) -> Response<Full<Bytes>> {
     let text = if status.is_success() { "yes\n" } else { "no\n" };
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -1,5 +1,5 @@
-//! The classes on offer. Each is a name with its rules in a numbered place, and a number means the same rules for as long
-//! as a request bears it.
+//! The request classes on offer over reloads. Each is a name with its rules in a numbered place of the balancer, and a
+//! place keeps its rules for as long as a request holds it.
 
 use std::rc::Rc;
 
@@ -8,25 +8,49 @@
 use leadrelay_core::{ClassId, Reconfiguration, RequestClass, Settings};
 use rustc_hash::FxHashSet;
 
-use crate::config::{Dialect, Plain};
+use crate::config::{Dialect, Plain, Route};
 
-/// Places that may be kept for requests of files before the running one. The classes of the running file and those of
-/// the new one have theirs besides: what a start takes is taken by a reload too, even if no class stays as it was.
-const KEPT: usize = 1024;
+/// Places that open requests may hold of earlier configurations. The classes of the running configuration and of the new
+/// one have theirs besides: a reload takes any file that a start takes, even if no class stays as it was.
+const MAX_HELD: usize = 1024;
 
-/// Open requests hold more classes of earlier files than are kept for them.
+/// Open requests hold more classes of earlier configurations than there are places for.
 #[derive(Debug, thiserror::Error)]
-#[error("open requests hold over {KEPT} classes of earlier files")]
+#[error("open requests hold over {MAX_HELD} classes of earlier files")]
 pub struct TooManyHeldClasses;
 
-/// Held by each request of a class: its place is not used for another one meanwhile.
-pub type Hold = Rc<()>;
+/// Held by each request of a class: the class's place is not reused meanwhile.
+#[derive(Clone, Default)]
+pub struct ClassLease(Rc<()>);
 
+impl ClassLease {
+    fn is_held(&self) -> bool {
+        Rc::strong_count(&self.0) > 1
+    }
+}
+
+/// A place of the balancer, with the class that has it.
 struct Place {
     name: Rc<str>,
     rules: RequestClass,
-    hold: Hold,
-    offered: bool,
+    lease: ClassLease,
+    is_offered: bool,
+}
+
+impl Place {
+    fn new(name: &str, rules: &RequestClass) -> Self {
+        Place { name: name.into(), rules: rules.clone(), lease: ClassLease::default(), is_offered: true }
+    }
+
+    /// Whether it has a class of this name with these rules.
+    fn is_same(&self, name: &str, rules: &RequestClass) -> bool {
+        *self.name == *name && self.rules == *rules
+    }
+
+    /// Whether it can be reused for another class.
+    fn is_free(&self) -> bool {
+        !self.is_offered && !self.lease.is_held()
+    }
 }
 
 /// A class as one request uses it.
@@ -34,10 +58,10 @@
     pub id: ClassId,
     pub name: Rc<str>,
     pub rules: RequestClass,
-    pub hold: Hold,
+    pub lease: ClassLease,
 }
 
-/// All places, and the names of the tenants.
+/// All places, the names of the tenants and the way requests are read.
 pub struct Classes {
     places: Vec<Place>,
     pub tenants: Vec<String>,
@@ -45,98 +69,120 @@
 }
 
 impl Classes {
+    /// The classes of the configuration at the start.
     pub fn new(names: &Names, rules: &[RequestClass], dialect: &Dialect) -> Self {
-        let place = |(name, rules): (&String, &RequestClass)| Place {
-            name: name.as_str().into(),
-            rules: rules.clone(),
-            hold: Hold::default(),
-            offered: true,
-        };
-        let places = names.classes.iter().zip(rules).map(place).collect();
-        Classes { places, tenants: names.tenants.clone(), dialect: dialect.clone() }
+        let classes = names.classes.iter().zip(rules);
+        Classes {
+            places: classes.map(|(name, rules)| Place::new(name, rules)).collect(),
+            tenants: names.tenants.clone(),
+            dialect: dialect.clone(),
+        }
     }
 
     /// The class of that name, if it is on offer.
     pub fn find(&self, name: &str) -> Option<ClassHandle> {
-        let id = self.places.iter().position(|p| p.offered && *p.name == *name)?;
-        let Place { name, rules, hold, .. } = &self.places[id];
-        Some(ClassHandle { id: ClassId(id), name: name.clone(), rules: rules.clone(), hold: hold.clone() })
+        let index = self.places.iter().position(|place| place.is_offered && *place.name == *name)?;
+        let Place { name, rules, lease, .. } = &self.places[index];
+        Some(ClassHandle {
+            id: ClassId(index),
+            name: name.clone(),
+            rules: rules.clone(),
+            lease: lease.clone(),
+        })
     }
 
-    /// The class to which a path and a method belong, by the longest path that fits.
+    /// The class of a path and a method: that of the longest matching path, the first of equally long ones.
     pub fn route(&self, plain: &Plain, path: &str, method: &Method) -> Option<ClassHandle> {
-        let within = |prefix: &str| {
-            let prefix = prefix.trim_end_matches('/');
-            path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
-        };
-        let takes = |methods: &[String]| methods.is_empty() || methods.iter().any(|m| m == method.as_str());
-        let fits = plain.routes.iter().filter(|r| within(&r.path) && takes(&r.methods));
-        // Of equally long ones the first.
-        let best = fits.rev().max_by_key(|r| r.path.trim_end_matches('/').len())?;
+        let matching = plain.routes.iter().filter(|route| matches(route, path, method));
+        let best = matching.rev().max_by_key(|route| route.path.trim_end_matches('/').len())?;
         self.find(&best.class)
     }
 
-    /// Names on offer, and their places.
+    /// Names on offer, with the indices of their places.
     pub fn offered(&self) -> impl Iterator<Item = (&str, usize)> {
-        self.places.iter().enumerate().filter(|(_, p)| p.offered).map(|(id, p)| (&*p.name, id))
+        let places = self.places.iter().enumerate().filter(|(_, place)| place.is_offered);
+        places.map(|(index, place)| (&*place.name, index))
     }
 
     /// The longest deadline of a class that is on offer or has open requests.
     pub fn longest(&self) -> f64 {
-        let used = self.places.iter().filter(|p| p.offered || Rc::strong_count(&p.hold) > 1);
-        used.map(|p| p.rules.deadline).fold(0.0, f64::max)
+        let used = self.places.iter().filter(|place| !place.is_free());
+        used.map(|place| place.rules.deadline).fold(0.0, f64::max)
     }
 
-    /// Offers the classes of these settings and no others; returns them with their places for the module.
-    pub fn retune(
+    /// Offers the classes of these settings and no others; returns the settings with the places as classes.
+    pub fn reconfigure(
         &mut self, names: &Names, mut settings: Settings, dialect: &Dialect,
     ) -> Result<Reconfiguration, TooManyHeldClasses> {
-        let free = |p: &Place| !p.offered && Rc::strong_count(&p.hold) == 1;
-        let known = |p: &Place| {
-            names.classes.iter().zip(&settings.classes).any(|(n, c)| *p.name == **n && p.rules == *c)
-        };
-        let new = settings.classes.len()
-            - self.places.iter().filter(|p| known(p)).count().min(settings.classes.len());
-        let most = KEPT + self.offered().count() + settings.classes.len();
-        if self.places.len() + new > most + self.places.iter().filter(|p| free(p)).count() {
+        if !self.has_room_for(names, &settings) {
             return Err(TooManyHeldClasses);
         }
-        let mut from: Vec<Option<usize>> = (0..self.places.len()).map(Some).collect();
-        let before: Vec<(Rc<str>, usize)> = self.offered().map(|(name, id)| (name.into(), id)).collect();
-        // What was on offer just now may still be learnt from.
-        let learnt_from: FxHashSet<usize> = before.iter().map(|(_, id)| *id).collect();
-        self.places.iter_mut().for_each(|p| p.offered = false);
-        for (name, rules) in names.classes.iter().zip(&settings.classes) {
-            let same = |p: &Place| !p.offered && *p.name == **name && p.rules == *rules;
-            if let Some(place) = self.places.iter_mut().find(|p| same(p)) {
-                place.offered = true;
+        let inherits_from = self.replace_classes(names, &settings.classes);
+        self.tenants.clone_from(&names.tenants);
+        self.dialect.clone_from(dialect);
+        settings.classes = self.places.iter().map(|place| place.rules.clone()).collect();
+        Ok(Reconfiguration {
+            settings,
+            inherits_from,
+            offered: self.places.iter().map(|place| place.is_offered).collect(),
+        })
+    }
+
+    fn has_room_for(&self, names: &Names, settings: &Settings) -> bool {
+        let is_kept = |place: &&Place| {
+            let mut classes = names.classes.iter().zip(&settings.classes);
+            classes.any(|(name, rules)| place.is_same(name, rules))
+        };
+        let kept = self.places.iter().filter(is_kept).count().min(settings.classes.len());
+        let added = settings.classes.len() - kept;
+        let max_places = MAX_HELD + self.offered().count() + settings.classes.len();
+        let free = self.places.iter().filter(|place| place.is_free()).count();
+        self.places.len() + added <= max_places + free
+    }
+
+    /// Offers these classes and no others. Returns, by place, the place before from which its class inherits what has
+    /// been learned.
+    fn replace_classes(&mut self, names: &Names, rules: &[RequestClass]) -> Vec<Option<usize>> {
+        let mut inherits_from: Vec<Option<usize>> = (0..self.places.len()).map(Some).collect();
+        let before: Vec<(Rc<str>, usize)> =
+            self.offered().map(|(name, index)| (name.into(), index)).collect();
+        // A place that was on offer is not reused now, as another class may inherit from it.
+        let inheritable: FxHashSet<usize> = before.iter().map(|(_, index)| *index).collect();
+        for place in &mut self.places {
+            place.is_offered = false;
+        }
+        for (name, rules) in names.classes.iter().zip(rules) {
+            let unchanged =
+                self.places.iter_mut().find(|place| !place.is_offered && place.is_same(name, rules));
+            if let Some(place) = unchanged {
+                place.is_offered = true;
                 continue;
             }
-            let place = Place {
-                name: name.as_str().into(),
-                rules: rules.clone(),
-                hold: Hold::default(),
-                offered: true,
-            };
-            let learnt = before.iter().find(|(n, _)| **n == **name).map(|(_, id)| *id);
-            match (0..self.places.len()).find(|id| free(&self.places[*id]) && !learnt_from.contains(id)) {
-                Some(id) => (self.places[id], from[id]) = (place, learnt),
+            let place = Place::new(name, rules);
+            let inherited = before.iter().find(|(other, _)| **other == **name).map(|(_, index)| *index);
+            let mut indices = 0..self.places.len();
+            match indices.find(|index| self.places[*index].is_free() && !inheritable.contains(index)) {
+                Some(index) => {
+                    self.places[index] = place;
+                    inherits_from[index] = inherited;
+                }
                 None => {
                     self.places.push(place);
-                    from.push(learnt);
+                    inherits_from.push(inherited);
                 }
             }
         }
-        self.tenants.clone_from(&names.tenants);
-        self.dialect.clone_from(dialect);
-        settings.classes = self.places.iter().map(|p| p.rules.clone()).collect();
-        Ok(Reconfiguration {
-            settings,
-            inherits_from: from,
-            offered: self.places.iter().map(|p| p.offered).collect(),
-        })
+        inherits_from
     }
 }
 
+/// Whether a route's path, in whole segments, and its methods match a request.
+fn matches(route: &Route, path: &str, method: &Method) -> bool {
+    let prefix = route.path.trim_end_matches('/');
+    let rest = path.strip_prefix(prefix);
+    let is_path_matching = rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'));
+    is_path_matching && (route.methods.is_empty() || route.methods.iter().any(|name| name == method.as_str()))
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/proxy/src/classes/tests.rs
+++ b/crates/proxy/src/classes/tests.rs
@@ -11,24 +11,24 @@
     settings::json::parse(&serde_json::json!({ "classes": classes }))
 }
 
-fn retuned(classes: &mut Classes, to: &[(&str, f64)]) -> Reconfiguration {
+fn reconfigured(classes: &mut Classes, to: &[(&str, f64)]) -> Reconfiguration {
     let (settings, names) = parsed(to);
-    classes.retune(&names, settings, &Dialect::Platform).expect("it fits")
+    classes.reconfigure(&names, settings, &Dialect::Platform).expect("it fits")
 }
 
 #[test]
-fn a_number_keeps_its_rules_while_a_request_bears_it() {
+fn place_keeps_its_rules_while_a_request_holds_it() {
     let (settings, names) = parsed(&[("a", 100.0), ("b", 200.0)]);
     let mut classes = Classes::new(&names, &settings.classes, &Dialect::Platform);
     let open = classes.find("a").expect("on offer");
     // Reordered, with other rules for one.
-    let to = retuned(&mut classes, &[("b", 200.0), ("a", 300.0)]);
+    let to = reconfigured(&mut classes, &[("b", 200.0), ("a", 300.0)]);
     let (a, b) = (classes.find("a").expect("on offer"), classes.find("b").expect("on offer"));
     assert_eq!((b.id.0, a.rules.deadline, to.inherits_from[a.id.0]), (1, 300.0, Some(open.id.0)));
     assert!(a.id != open.id && to.settings.classes[open.id.0].deadline == 100.0);
     assert!(!to.offered[open.id.0] && to.offered[a.id.0]);
     // Dropped, and its place stays for as long as it is held.
-    let to = retuned(&mut classes, &[("c", 1.0)]);
+    let to = reconfigured(&mut classes, &[("c", 1.0)]);
     assert!(classes.find("a").is_none() && classes.find("b").is_none());
     assert_eq!(to.settings.classes[open.id.0].deadline, 100.0);
     assert_eq!(classes.longest(), 300.0, "of what is held");
@@ -36,19 +36,19 @@
     assert_eq!(classes.longest(), 1.0);
     // Many files later there are no more places than are needed at once.
     for n in 0..1000 {
-        retuned(&mut classes, &[("a", f64::from(n) + 1.0), ("b", 5.0)]);
+        reconfigured(&mut classes, &[("a", f64::from(n) + 1.0), ("b", 5.0)]);
     }
     assert!(classes.places.len() < 12, "{}", classes.places.len());
 }
 
 #[test]
-fn a_reload_takes_as_many_classes_as_a_start() {
+fn reload_takes_as_many_classes_as_a_start() {
     let (settings, names) = parsed(&[("a", 100.0)]);
     let mut classes = Classes::new(&names, &settings.classes, &Dialect::Platform);
     let many: Vec<String> = (0..1024).map(|n| format!("c{n}")).collect();
     for deadline in [1.0, 2.0, 3.0, 4.0] {
         let to: Vec<(&str, f64)> = many.iter().map(|n| (n.as_str(), deadline)).collect();
-        retuned(&mut classes, &to);
+        reconfigured(&mut classes, &to);
         assert_eq!(classes.find("c1023").expect("on offer").rules.deadline, deadline);
         assert!(classes.find("a").is_none() && classes.offered().count() == 1024);
     }
@@ -56,26 +56,26 @@
 }
 
 #[test]
-fn too_many_classes_that_open_requests_hold_change_nothing() {
+fn reload_with_too_many_held_classes_changes_nothing() {
     let (settings, names) = parsed(&[("a", 100.0)]);
     let mut classes = Classes::new(&names, &settings.classes, &Dialect::Platform);
-    let many: Vec<String> = (0..KEPT).map(|n| format!("c{n}")).collect();
+    let many: Vec<String> = (0..MAX_HELD).map(|n| format!("c{n}")).collect();
     let with = |deadline: f64| -> Vec<(&str, f64)> { many.iter().map(|n| (n.as_str(), deadline)).collect() };
     let mut held = Vec::new();
     for deadline in [1.0, 2.0, 3.0] {
-        retuned(&mut classes, &with(deadline));
+        reconfigured(&mut classes, &with(deadline));
         held.push(many.iter().map(|n| classes.find(n).expect("on offer")).collect::<Vec<_>>());
     }
     let (settings, names) = parsed(&with(4.0));
-    assert!(classes.retune(&names, settings.clone(), &Dialect::Platform).is_err());
+    assert!(classes.reconfigure(&names, settings.clone(), &Dialect::Platform).is_err());
     assert_eq!(classes.find("c0").expect("on offer").rules.deadline, 3.0);
     held.remove(0);
-    classes.retune(&names, settings, &Dialect::Platform).expect("the first ones are held no more");
+    classes.reconfigure(&names, settings, &Dialect::Platform).expect("the first ones are held no more");
     assert_eq!(classes.find("c0").expect("on offer").rules.deadline, 4.0);
 }
 
 #[test]
-fn a_request_belongs_to_the_longest_path_of_whole_segments_that_fits() {
+fn longest_path_of_whole_segments_wins() {
     use crate::config::Route;
     let (settings, names) = parsed(&[("read", 1.0), ("write", 1.0), ("orders", 1.0)]);
     let route = |class: &str, path: &str, methods: &[&str]| Route {
--- a/crates/proxy/src/config/file.rs
+++ b/crates/proxy/src/config/file.rs
@@ -19,7 +19,7 @@
 use super::{
     Config, Dialect, Format, Logging, Origin, PeerAddresses, Plain, Route, Source, max_open_requests,
 };
-use crate::host::{Health, Host};
+use crate::listed_endpoint::{Health, ListedEndpoint};
 
 /// Configuration of leadrelay. One listener and one backend make a working proxy; every other key has a default.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
@@ -474,7 +474,7 @@
         });
         let source = match self.discovery {
             Some(at) => Source::Discovery(at.address.0),
-            None => Source::Fixed(self.backends.iter().map(Backend::host).collect()),
+            None => Source::Fixed(self.backends.iter().map(Backend::listed_endpoint).collect()),
         };
         let LoggingOf { filter, format, access } = self.logging;
         Config {
@@ -484,10 +484,10 @@
             source,
             // Two proxies started together must not draw alike.
             seed: self.seed.map_or_else(|| RandomState::new().hash_one(std::process::id()), u64::from),
-            sockets: self.limits.descriptors,
-            memory: self.limits.memory.0 as usize,
+            max_sockets: self.limits.descriptors,
+            max_memory: self.limits.memory.0 as usize,
             peers,
-            known: Value::Null,
+            cached_list: Value::Null,
             connections: Connections {
                 dial_timeout: self.timeouts.connect.ms(),
                 idle_close: self.timeouts.idle.ms(),
@@ -529,16 +529,16 @@
         self.name.clone().unwrap_or_else(|| self.address.0.to_string())
     }
 
-    fn host(&self) -> Host {
-        Host {
-            host: self.label(),
-            dial: Some(self.address.0),
-            site: self.zone.clone(),
-            class: self.kind.clone(),
-            block: None,
+    fn listed_endpoint(&self) -> ListedEndpoint {
+        ListedEndpoint {
+            name: self.label(),
+            address: Some(self.address.0),
+            zone: self.zone.clone(),
+            machine_class: self.kind.clone(),
+            cell: None,
             health: Health::Up,
-            share: Some(self.weight),
-            born_ms: 0.0,
+            weight: Some(self.weight),
+            started_unix_ms: 0.0,
         }
     }
 }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::host::Host;
+use crate::listed_endpoint::ListedEndpoint;
 
 pub use explain::{explain, markdown};
 pub use fault::{Fault, Faults};
@@ -50,7 +50,7 @@
     /// A discovery service.
     Discovery(SocketAddr),
     /// The configuration.
-    Fixed(Vec<Host>),
+    Fixed(Vec<ListedEndpoint>),
 }
 
 /// A rule that gives requests to a class.
@@ -136,13 +136,13 @@
     /// Where chance starts from.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Memory that the process may take, in bytes.
-    pub memory: usize,
+    pub max_memory: usize,
     /// Other proxies.
     pub peers: Option<PeerAddresses>,
     /// The list of backends as last seen, in discovery's form; perhaps old, perhaps nothing.
-    pub known: Value,
+    pub cached_list: Value,
     /// What the module is told.
     pub settings: Settings,
     /// The names that the module knows by numbers.
@@ -229,7 +229,7 @@
     fn one_listener_and_one_backend_make_a_configuration() {
         let config = parse(SMALL, "f").expect("good");
         assert_eq!(config.names.classes, ["read", "write"]);
-        assert!(matches!(&config.source, Source::Fixed(hosts) if hosts[0].host == "127.0.0.1:9001"));
+        assert!(matches!(&config.source, Source::Fixed(hosts) if hosts[0].name == "127.0.0.1:9001"));
         assert!(
             matches!(config.dialect, Dialect::Plain(_)) && config.peers.is_none() && config.admin.is_none()
         );
--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -1,11 +1,12 @@
-//! One call to discovery: a watch, from its connection to its end. It has no bounds of its own: whoever wants nothing
-//! more of it drops it.
+//! One call to discovery: a watch of the endpoint list, from its connection to its end. It has no time-outs of its own:
+//! the balancer's subscription cancels it.
 
 use std::io;
 use std::net::SocketAddr;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
@@ -14,23 +15,26 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
+use super::endpoint_list::{EndpointList, ListError};
 use super::framing::{Frame, FrameError, Framer};
-use super::list::{ListError, ServerList};
 use crate::socket::Uninterrupted;
 
-/// What is seen of a call.
+/// The target of a watch, to which the version may be added.
+const WATCH_TARGET: &str = "/discovery/hosts?watch=1";
+
+/// What a call reports.
 #[derive(Debug)]
-pub enum Report {
-    /// Its connection is up.
+pub enum CallReport {
+    /// Its connection is established.
     Connected(CallId),
-    /// News.
+    /// The list, or changes of it.
     Update {
         /// The call that it answers.
         call: CallId,
         /// When it was read.
         read_at: Instant,
-        /// The whole list, or what has changed.
-        list: ServerList,
+        /// What was read.
+        list: EndpointList,
     },
     /// Nothing has changed.
     Heartbeat {
@@ -53,22 +57,22 @@
 /// Why a call ended.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Its connection did not come up.
+    /// Its connection was not established.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke, or what came is no HTTP.
+    /// The connection broke, or the response is not HTTP.
     #[error("the connection broke: {0}")]
     Http(#[from] hyper::Error),
-    /// It was turned away.
+    /// It was rejected.
     #[error("status {0}")]
     Status(StatusCode),
-    /// It has ended properly.
+    /// The response has ended properly.
     #[error("the watch has ended")]
     Closed,
-    /// It broke inside an object.
+    /// It ended within an object.
     #[error("the watch has ended inside an object")]
     Truncated,
-    /// What came is no watch.
+    /// What was received does not have the form of a watch.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// A list can't be used.
@@ -77,7 +81,7 @@
 }
 
 impl CallError {
-    /// What it means for what is known of the list.
+    /// What it means for the subscription.
     pub fn end(&self) -> CallEnd {
         match self {
             CallError::Connect(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
@@ -93,40 +97,43 @@
 
 /// A call to be made.
 pub struct Call {
-    /// Its number.
+    /// Its id.
     pub id: CallId,
     /// Where discovery is.
     pub address: SocketAddr,
-    /// The version after which changes are wanted; `None` for the whole list.
+    /// The version after which changes are wanted; `None` for the complete list.
     pub after: Option<u64>,
 }
 
 impl Call {
-    /// Makes the call and reports all that is seen of it, its end included.
-    pub async fn run(self, report: impl Fn(Report)) {
+    /// Makes the call and reports everything about it, its end included.
+    pub async fn run(self, report: impl Fn(CallReport)) {
         let call = self.id;
-        let begun_at = Instant::now();
+        let started_at = Instant::now();
         let error = match self.follow(&report).await {
             Ok(()) => CallError::Closed,
             Err(error) => error,
         };
-        let at = if error.end() == CallEnd::Unreachable { begun_at } else { Instant::now() };
-        report(Report::Ended { call, at, error });
+        let at = if error.end() == CallEnd::Unreachable { started_at } else { Instant::now() };
+        report(CallReport::Ended { call, at, error });
     }
 
-    async fn follow(&self, report: &impl Fn(Report)) -> Result<(), CallError> {
+    async fn follow(&self, report: &impl Fn(CallReport)) -> Result<(), CallError> {
         let stream = TcpStream::connect(self.address).await.map_err(CallError::Connect)?;
-        report(Report::Connected(self.id));
+        report(CallReport::Connected(self.id));
         let (mut sender, connection) = http1::handshake(TokioIo::new(Uninterrupted(stream))).await?;
-        let mut connections = JoinSet::new();
+        let mut connections = JoinSet::new(); // aborts the connection's task when it is dropped
         connections.spawn_local(async move {
-            let _ = connection.await; // its end shows in the body
+            let _ = connection.await; // its end is seen in the body
         });
-        let answer = sender.send_request(self.request()).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(CallError::Status(answer.status()));
+        let response = sender.send_request(self.request()).await?;
+        if response.status() != StatusCode::OK {
+            return Err(CallError::Status(response.status()));
         }
-        let mut body = answer.into_body();
+        self.read_body(response.into_body(), report).await
+    }
+
+    async fn read_body(&self, mut body: Incoming, report: &impl Fn(CallReport)) -> Result<(), CallError> {
         let mut framer = Framer::default();
         let mut frames = Vec::new();
         while let Some(frame) = body.frame().await {
@@ -138,28 +145,33 @@
             let read_at = Instant::now();
             let framed = framer.push(&data, &mut frames);
             for frame in frames.drain(..) {
-                report(self.read(frame, read_at)?);
+                report(self.parse(frame, read_at)?);
             }
             framed?;
         }
-        if framer.is_partial() { Err(CallError::Truncated) } else { Ok(()) }
+        match framer.is_partial() {
+            true => Err(CallError::Truncated),
+            false => Ok(()),
+        }
     }
 
     fn request(&self) -> Request<Empty<Bytes>> {
-        let after = self.after.map_or(String::new(), |version| format!("&after={version}"));
+        let mut target = String::from(WATCH_TARGET);
+        if let Some(version) = self.after {
+            target.push_str(&format!("&after={version}"));
+        }
         let mut request = Request::new(Empty::new());
-        let target = format!("/discovery/hosts?watch=1{after}");
         *request.uri_mut() = target.parse().expect("digits and letters make a target");
         let host = self.address.to_string().parse().expect("an address makes a header");
         request.headers_mut().insert(hyper::header::HOST, host);
         request
     }
 
-    fn read(&self, frame: Frame, read_at: Instant) -> Result<Report, CallError> {
+    fn parse(&self, frame: Frame, read_at: Instant) -> Result<CallReport, CallError> {
         let call = self.id;
         Ok(match frame {
-            Frame::Object(text) => Report::Update { call, read_at, list: ServerList::parse(&text)? },
-            Frame::Heartbeat => Report::Heartbeat { call, read_at },
+            Frame::Object(text) => CallReport::Update { call, read_at, list: EndpointList::parse(&text)? },
+            Frame::Heartbeat => CallReport::Heartbeat { call, read_at },
         })
     }
 }
--- a/crates/proxy/src/discovery/calls.rs
+++ b/crates/proxy/src/discovery/calls.rs
@@ -1,4 +1,4 @@
-//! The calls to discovery that are open.
+//! The open calls to discovery.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,24 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{JoinHandle, spawn_local};
 
-use super::client::{Call, Report};
+use super::call::{Call, CallReport};
 
-/// What the transport has to say of discovery.
-pub enum News {
-    /// What has been seen of a call.
-    Call(Report),
+/// What the transport reports about discovery.
+pub enum DiscoveryReport {
+    /// Something about a call.
+    Call(CallReport),
     /// Discovery is at another address.
     Moved,
 }
 
-/// Where news is read, apart from all that clients, backends and peers send: it waits behind none of that.
-pub type NewsReceiver = mpsc::UnboundedReceiver<News>;
+/// The receiver of these reports. It is apart from the driver's inbox, so that they don't wait behind requests.
+pub type DiscoveryReceiver = mpsc::UnboundedReceiver<DiscoveryReport>;
 
-/// Opens and gives up calls as it is told.
+/// Opens and cancels calls.
 pub struct Calls {
-    /// Where discovery is at present.
+    /// The present address of discovery.
     address: watch::Receiver<SocketAddr>,
-    news: mpsc::UnboundedSender<News>,
+    reports: mpsc::UnboundedSender<DiscoveryReport>,
     open: FxHashMap<CallId, OpenCall>,
 }
 
@@ -35,44 +35,53 @@
 }
 
 impl Calls {
-    /// No call is open. What is seen of those to come, and each move of discovery, is read from the receiver.
-    pub fn new(address: watch::Receiver<SocketAddr>) -> (Self, NewsReceiver) {
-        let (news, receiver) = mpsc::unbounded_channel();
-        spawn_local(report_moves(address.clone(), news.clone()));
-        (Calls { address, news, open: FxHashMap::default() }, receiver)
+    /// No open calls, and the receiver of reports about those to come and about changes of the address.
+    pub fn new(address: watch::Receiver<SocketAddr>) -> (Self, DiscoveryReceiver) {
+        let (reports, receiver) = mpsc::unbounded_channel();
+        spawn_local(report_moves(address.clone(), reports.clone()));
+        let calls = Calls { address, reports, open: FxHashMap::default() };
+        (calls, receiver)
     }
 
-    /// Opens a watch.
+    /// Opens a call that watches the list, for the changes after a version or for the complete list.
     pub fn open(&mut self, id: CallId, after: Option<u64>) {
         let address = *self.address.borrow();
         let call = Call { id, address, after };
-        let news = self.news.clone();
-        let task = spawn_local(call.run(move |report| drop(news.send(News::Call(report)))));
+        let reports = self.reports.clone();
+        let report = move |report| drop(reports.send(DiscoveryReport::Call(report)));
+        let task = spawn_local(call.run(report));
         self.open.insert(id, OpenCall { address, task });
     }
 
-    /// Gives a call up: its connection is closed, and what it has reported meanwhile is not heeded. Returns its
-    /// address.
+    /// Cancels a call: its connection is closed, and its end is not reported. Returns its address.
     pub fn cancel(&mut self, id: CallId) -> Option<SocketAddr> {
         let call = self.open.remove(&id)?;
         call.task.abort();
         Some(call.address)
     }
 
-    /// Forgets a call that has reported its end. Returns its address; `None` if it had been given up before.
-    pub fn ended(&mut self, id: CallId) -> Option<SocketAddr> {
+    /// Removes a call that has reported its end. Returns its address; `None` if it was cancelled before.
+    pub fn remove_ended(&mut self, id: CallId) -> Option<SocketAddr> {
         self.open.remove(&id).map(|call| call.address)
     }
 }
 
 impl Drop for Calls {
     fn drop(&mut self) {
-        self.open.values().for_each(|call| call.task.abort());
+        for call in self.open.values() {
+            call.task.abort();
+        }
     }
 }
 
-/// Reports each move of discovery, for as long as it can be moved.
-async fn report_moves(mut address: watch::Receiver<SocketAddr>, news: mpsc::UnboundedSender<News>) {
+/// Reports each change of discovery's address until it can change no more.
+async fn report_moves(
+    mut address: watch::Receiver<SocketAddr>, reports: mpsc::UnboundedSender<DiscoveryReport>,
+) {
     address.borrow_and_update();
-    while address.changed().await.is_ok() && news.send(News::Moved).is_ok() {}
+    while address.changed().await.is_ok() {
+        if reports.send(DiscoveryReport::Moved).is_err() {
+            return;
+        }
+    }
 }
--- a/crates/proxy/src/discovery/framing.rs
+++ b/crates/proxy/src/discovery/framing.rs
@@ -1,9 +1,10 @@
-//! Splits the body of a watch into objects and empty lines. An object may stand on one line or be indented over many.
+//! Splits the body of a watch into JSON objects and heartbeats, which are empty lines. An object may be written on one
+//! line or indented over several.
 
 /// Longest object, in bytes.
 const MAX_OBJECT: usize = 4 << 20;
 
-/// What a watch tells.
+/// One message of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     /// The text of one JSON object, complete by its brackets.
@@ -12,21 +13,21 @@
     Heartbeat,
 }
 
-/// What can't be a part of a watch.
+/// Why bytes can't be a part of a watch.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
     /// An object is longer than any list.
     #[error("an object of more than {MAX_OBJECT} bytes")]
     TooLong,
-    /// Something stands between the objects.
+    /// There is text between the objects.
     #[error("unexpected text between objects")]
     Unexpected,
-    /// A new line of news has begun before the last object was complete.
+    /// A heartbeat came before the object was complete.
     #[error("an object is incomplete")]
     Incomplete,
 }
 
-/// Follows the bytes of a watch.
+/// Splits the bytes of a watch into frames.
 #[derive(Debug, Default)]
 pub struct Framer {
     object: Vec<u8>,
@@ -34,35 +35,36 @@
     depth: usize,
     in_string: bool,
     escaped: bool,
-    /// Whether the current line has shown anything but blanks.
-    line_used: bool,
+    /// Whether the current line has anything but whitespace.
+    is_line_used: bool,
 }
 
 impl Framer {
-    /// Takes in bytes and appends what they complete.
+    /// Takes bytes and appends the frames that they complete.
     ///
     /// # Errors
-    /// If they can't be a part of a watch; what comes after them can't be told apart.
+    /// If they can't be a part of a watch; nothing after them can be read.
     pub fn push(&mut self, bytes: &[u8], frames: &mut Vec<Frame>) -> Result<(), FrameError> {
         bytes.iter().try_for_each(|&byte| self.take(byte, frames))
     }
 
-    /// Whether an object has begun and is not complete.
+    /// Whether an object has started and is not complete.
     pub fn is_partial(&self) -> bool {
         !self.object.is_empty()
     }
 
     fn take(&mut self, byte: u8, frames: &mut Vec<Frame>) -> Result<(), FrameError> {
         if self.is_partial() {
-            return self.inside(byte, frames);
+            return self.take_in_object(byte, frames);
         }
         match byte {
             b'{' => {
-                (self.depth, self.line_used) = (1, true);
+                self.depth = 1;
+                self.is_line_used = true;
                 self.object.push(byte);
             }
             b'\n' => {
-                if !std::mem::take(&mut self.line_used) {
+                if !std::mem::take(&mut self.is_line_used) {
                     frames.push(Frame::Heartbeat);
                 }
             }
@@ -72,27 +74,27 @@
         Ok(())
     }
 
-    fn inside(&mut self, byte: u8, frames: &mut Vec<Frame>) -> Result<(), FrameError> {
+    fn take_in_object(&mut self, byte: u8, frames: &mut Vec<Frame>) -> Result<(), FrameError> {
         if self.object.len() == MAX_OBJECT {
             return Err(FrameError::TooLong);
         }
         self.object.push(byte);
         if byte == b'\n' {
             // No indented object has an empty line; a broken one is followed by the next heartbeat.
-            if !std::mem::take(&mut self.line_used) {
+            if !std::mem::take(&mut self.is_line_used) {
                 return Err(FrameError::Incomplete);
             }
         } else if !byte.is_ascii_whitespace() {
-            self.line_used = true;
+            self.is_line_used = true;
         }
-        self.follow_brackets(byte);
+        self.track_depth(byte);
         if self.depth == 0 {
             frames.push(Frame::Object(std::mem::take(&mut self.object)));
         }
         Ok(())
     }
 
-    fn follow_brackets(&mut self, byte: u8) {
+    fn track_depth(&mut self, byte: u8) {
         match byte {
             _ if std::mem::take(&mut self.escaped) => {}
             b'\\' if self.in_string => self.escaped = true,
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,16 +1,17 @@
-//! The server list: what discovery tells, and the calls that fetch it.
+//! Discovery: the calls that watch the endpoint list, and the form in which the list is received.
 //!
-//! Whether a call is made or given up, and what its news is worth, is decided by the core's subscription. [`Calls`]
-//! carries that out and [`client`] reports what is seen; neither keeps any state of the list.
+//! When a call is made or cancelled, and what an update is worth, is decided by the balancer's subscription. [`Calls`]
+//! carries that out, and `call` reports what is seen of one call; neither keeps any state of the list. `framing` splits
+//! a response into messages, `endpoint_list` parses one.
 
+mod call;
 mod calls;
-mod client;
+mod endpoint_list;
 mod framing;
-mod list;
 
-pub use calls::{Calls, News, NewsReceiver};
-pub use client::{CallError, Report};
-pub use list::{ServerList, remembered};
+pub use call::{CallError, CallReport};
+pub use calls::{Calls, DiscoveryReceiver, DiscoveryReport};
+pub use endpoint_list::{EndpointList, read_cached};
 
 #[cfg(test)]
 mod tests;
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -1,8 +1,8 @@
-//! The form of what discovery tells, cut and broken in all ways.
+//! Framing and parsing of watches, cut and broken in all ways.
 
+use super::endpoint_list::{EndpointList, ListError, read_cached};
 use super::framing::{Frame, FrameError, Framer};
-use super::list::{ListError, ServerList, remembered};
-use crate::host::{Health, HostError};
+use crate::listed_endpoint::{EntryError, Health};
 
 fn frames(parts: &[&[u8]]) -> Result<Vec<Frame>, FrameError> {
     let mut framer = Framer::default();
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn objects_and_heartbeats_are_told_apart_however_they_are_cut() {
+fn objects_and_heartbeats_are_split_however_they_are_cut() {
     let text = "{\"a\":\"}\\\"{\"}\n\n{\"b\":[1,{}]}\r\n\r\n \t\n";
     let expected = [
         object("{\"a\":\"}\\\"{\"}"),
@@ -36,20 +36,20 @@
 }
 
 #[test]
-fn an_object_may_be_indented_over_many_lines() {
+fn object_may_be_indented_over_many_lines() {
     let text = "{\n  \"seq\": 1,\r\n  \"hosts\": [\n    {\n    }\n  ]\n}";
     assert_eq!(frames(&[text.as_bytes(), b"\n\n"]), Ok(vec![object(text), Frame::Heartbeat]));
 }
 
 #[test]
-fn what_is_no_object_ends_the_watch() {
+fn text_between_objects_is_unexpected() {
     for text in ["x", "[]", "\"a\"", "{}x", "}", "\0"] {
         assert_eq!(frames(&[text.as_bytes()]).err(), Some(FrameError::Unexpected), "{text:?}");
     }
 }
 
 #[test]
-fn an_object_that_is_never_finished_is_seen_by_the_next_heartbeat_or_its_length() {
+fn unfinished_object_is_seen_by_the_next_heartbeat_or_its_length() {
     assert_eq!(frames(&[b"{\"seq\":1,\n", b"\n"]), Err(FrameError::Incomplete));
     let mut framer = Framer::default();
     let mut frames = Vec::new();
@@ -62,51 +62,55 @@
 
 const GOOD: &str = r#"{"host":"s-1","dial":"127.0.0.1:9","site":"a","class":"k","block":1,"health":"up","share":1.0,"born_ms":0}"#;
 
-fn list_of(entries: &[&str]) -> Result<ServerList, ListError> {
-    ServerList::parse(format!(r#"{{"seq":7,"whole":true,"hosts":[{}]}}"#, entries.join(",")).as_bytes())
+fn list_of(entries: &[&str]) -> Result<EndpointList, ListError> {
+    EndpointList::parse(format!(r#"{{"seq":7,"whole":true,"hosts":[{}]}}"#, entries.join(",")).as_bytes())
 }
 
 #[test]
-fn a_list_is_read_whole() {
+fn list_is_read_completely() {
     let gone = r#"{"host":"s-2","health":"removed"}"#;
     let drains = r#"{"host":"s-3","dial":null,"health":"draining","site":null}"#;
     let list = list_of(&[GOOD, gone, drains]).expect("a list");
-    assert_eq!((list.version, list.whole), (7, true));
-    let healths: Vec<Health> = list.hosts.iter().map(|host| host.health).collect();
+    assert_eq!((list.version, list.complete), (7, true));
+    let healths: Vec<Health> = list.endpoints.iter().map(|endpoint| endpoint.health).collect();
     assert_eq!(healths, [Health::Up, Health::Removed, Health::Draining]);
-    assert_eq!(list_of(&[GOOD, GOOD]).expect("said twice").hosts.len(), 1);
+    assert_eq!(list_of(&[GOOD, GOOD]).expect("said twice").endpoints.len(), 1);
 }
 
 #[test]
-fn a_list_of_which_a_part_cannot_be_read_is_not_used_at_all() {
+fn list_with_a_malformed_part_is_not_used_at_all() {
     let entry = |text: &str| match list_of(&[GOOD, text]) {
         Err(ListError::Entry { number: 2, error }) => error,
         other => panic!("{text}: {other:?}"),
     };
     for text in ["null", "3", "{}", r#"{"host":""}"#, r#"{"host":3}"#] {
-        assert_eq!(entry(text), HostError::NoName, "{text}");
+        assert_eq!(entry(text), EntryError::NoName, "{text}");
     }
-    let host = String::from("s");
+    let name = String::from("s");
     for dial in ["null", "3", r#""nowhere""#, r#""127.0.0.1""#] {
         let text = format!(r#"{{"host":"s","dial":{dial},"health":"up"}}"#);
-        assert_eq!(entry(&text), HostError::NoAddress { host: host.clone() }, "{text}");
+        assert_eq!(entry(&text), EntryError::NoAddress { name: name.clone() }, "{text}");
     }
     for health in ["null", "1", r#""UP""#, r#""gone""#] {
         let text = format!(r#"{{"host":"s","dial":"127.0.0.1:9","health":{health}}}"#);
-        assert_eq!(entry(&text), HostError::Health { host: host.clone(), health: health.into() }, "{text}");
+        assert_eq!(
+            entry(&text),
+            EntryError::UnknownHealth { name: name.clone(), health: health.into() },
+            "{text}"
+        );
     }
     let other = GOOD.replace("up", "draining");
-    assert!(matches!(list_of(&[GOOD, &other]), Err(ListError::Duplicate(host)) if host == "s-1"));
+    assert!(matches!(list_of(&[GOOD, &other]), Err(ListError::Duplicate(name)) if name == "s-1"));
     for text in
         ["{}", "[]", "", "{", r#"{"seq":-1,"whole":true,"hosts":[]}"#, r#"{"seq":1,"whole":true,"hosts":{}}"#]
     {
-        assert!(matches!(ServerList::parse(text.as_bytes()), Err(ListError::Json(_))), "{text}");
+        assert!(matches!(EndpointList::parse(text.as_bytes()), Err(ListError::Json(_))), "{text}");
     }
 }
 
 #[test]
-fn a_remembered_list_is_used_as_far_as_it_can_be_read() {
-    let known = |text: &str| remembered(&serde_json::from_str(text).expect("JSON"));
+fn cached_list_is_used_as_far_as_it_can_be_read() {
+    let known = |text: &str| read_cached(&serde_json::from_str(text).expect("JSON"));
     assert_eq!(known("null"), None);
     assert_eq!(known(r#"{"seq":"x"}"#), None);
     let some = known(&format!(r#"{{"seq":1,"whole":true,"hosts":[null,{GOOD}]}}"#)).expect("a list");
--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -1,4 +1,4 @@
-//! The core's clock, and what the wall clock has to do with it.
+//! The balancer's monotonic clock, and the conversion of Unix times.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -6,47 +6,52 @@
 use tokio::time::Instant;
 
 /// A wall clock that differs by more from what it should show has been stepped, or has been slewed this far.
-const STEP_LEAST: Duration = Duration::from_millis(100);
-/// A start may seem to lie so far ahead: machines read one clock, but not at one moment.
-const AHEAD_MOST: Millis = 1000.0;
-/// Settings of the wall clock that are remembered.
+const MIN_STEP: Duration = Duration::from_millis(100);
+/// An endpoint's start may seem to lie this far ahead, as clocks of machines differ.
+const MAX_CLOCK_SKEW: Millis = 1000.0;
+/// Offsets of the wall clock that are remembered.
 const MAX_OFFSETS: usize = 1024;
+/// Latest time that is converted to an instant.
+const MAX_TIME: Millis = 1e12;
 
-/// The core's clock is monotonic and starts with the process. Unix time is converted here alone.
+/// The balancer's clock: monotonic, from the start of the process. Unix times are converted here only.
 ///
-/// The wall clock may be stepped while the process runs, so what it was ahead of the core's clock is kept for each of
-/// its settings. Which of them was in force when another machine read its clock is not known.
+/// The wall clock may be stepped while the process runs, so its offset from this clock is kept for each step. Which of
+/// them was in force when another machine read its clock is not known.
 pub struct Clock {
     start: Instant,
-    /// What the wall clock was ahead, oldest first; never empty.
+    /// How far the wall clock was ahead, oldest first; never empty.
     offsets: Vec<Millis>,
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn new() -> Self {
         Clock { start: Instant::now(), offsets: vec![unix_now()] }
     }
 
+    /// The time of an instant.
     pub fn at(&self, instant: Instant) -> Millis {
         instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
+    /// The instant of a time.
     pub fn instant(&self, at: Millis) -> Instant {
-        self.start + Duration::from_secs_f64(at.clamp(0.0, 1e12) / 1000.0)
+        self.start + Duration::from_secs_f64(at.clamp(0.0, MAX_TIME) / 1000.0)
     }
 
-    /// Notes a step of the wall clock.
+    /// Records a step of the wall clock, if there was one.
     pub fn follow_wall_clock(&mut self) {
         let before = Instant::now();
         let unix = unix_now();
-        // Held up between the two readings, the process can't tell that from a step; it looks again.
-        if before.elapsed() < STEP_LEAST {
-            self.note_offset(unix - self.at(before));
+        // A delay between the two readings can't be told apart from a step; the next call tries again.
+        if before.elapsed() < MIN_STEP {
+            self.record_offset(unix - self.at(before));
         }
     }
 
-    fn note_offset(&mut self, offset: Millis) {
-        if (offset - self.offset()).abs() < STEP_LEAST.as_secs_f64() * 1000.0 {
+    fn record_offset(&mut self, offset: Millis) {
+        if (offset - self.offset()).abs() < MIN_STEP.as_secs_f64() * 1000.0 {
             return;
         }
         if self.offsets.len() == MAX_OFFSETS {
@@ -55,22 +60,22 @@
         self.offsets.push(offset);
     }
 
-    /// What the wall clock is ahead now.
+    /// How far the wall clock is ahead now.
     pub fn offset(&self) -> Millis {
         self.offsets.last().copied().unwrap_or_default()
     }
 
-    /// When a backend started, by what discovery says; `None` for long ago.
+    /// When an endpoint started, by the Unix time that discovery gives; `None` for long ago.
     ///
-    /// Of the times that it may mean the latest is taken: a backend that is taken for colder than it is gets less for
-    /// a while, one that is taken for warmer is pushed over.
-    pub fn born(&self, born_ms: f64) -> Option<Millis> {
-        if !born_ms.is_finite() || born_ms <= 0.0 {
+    /// Of the times that it may mean the latest is taken: an endpoint that is still taken to be warming up gets fewer
+    /// requests for a while, one that is wrongly taken to be warm is overloaded.
+    pub fn at_unix(&self, unix_ms: f64) -> Option<Millis> {
+        if !unix_ms.is_finite() || unix_ms <= 0.0 {
             return None;
         }
         let now = self.at(Instant::now());
         let possible =
-            self.offsets.iter().map(|offset| born_ms - offset).filter(|at| *at <= now + AHEAD_MOST);
+            self.offsets.iter().map(|offset| unix_ms - offset).filter(|at| *at <= now + MAX_CLOCK_SKEW);
         Some(possible.reduce(f64::max).unwrap_or(now))
     }
 }
--- /dev/null
+++ b/crates/proxy/src/driver/endpoint_updates.rs
@@ -0,0 +1,172 @@
+//! Where endpoint lists arrive: from discovery's calls, from the configuration, from a predecessor. Opens and cancels
+//! the calls for the balancer, and follows whether the list may be used.
+
+use std::time::Duration;
+
+use leadrelay_core::{
+    CallEnd, CallId, CancelReason, DiscoveryEvent, Endpoint, EndpointState, Event, ListScope,
+};
+use tokio::time::Instant;
+use tracing::{info, warn};
+
+use super::Driver;
+use super::endpoints::Context;
+use crate::discovery::{CallError, CallReport, Calls, DiscoveryReceiver, DiscoveryReport, EndpointList};
+use crate::listed_endpoint::ListedEndpoint;
+
+/// The age and the state of the endpoint list.
+pub struct ListStatus {
+    /// When discovery was last heard from.
+    pub(super) last_message_at: Instant,
+    /// Whether requests may be sent by the list.
+    pub(super) is_valid: bool,
+    /// Whether there is a cached list that names an endpoint in use.
+    pub(super) has_cached: bool,
+}
+
+impl ListStatus {
+    /// The status at the start of the process.
+    pub fn new() -> Self {
+        ListStatus { last_message_at: Instant::now(), is_valid: true, has_cached: false }
+    }
+
+    /// How long discovery has been silent.
+    pub fn age(&self) -> Duration {
+        self.last_message_at.elapsed()
+    }
+}
+
+/// The next report about discovery; pending for ever if there is no discovery.
+pub async fn next_report(discovery: &mut Option<(Calls, DiscoveryReceiver)>) -> Option<DiscoveryReport> {
+    match discovery {
+        Some((_, reports)) => reports.recv().await,
+        None => std::future::pending().await,
+    }
+}
+
+impl Driver {
+    /// Handles what the transport reports about discovery.
+    pub(super) fn handle_discovery(&mut self, report: DiscoveryReport) {
+        match report {
+            DiscoveryReport::Moved => self.handle(Event::Discovery(DiscoveryEvent::Moved)),
+            DiscoveryReport::Call(report) => self.handle_call_report(report),
+        }
+    }
+
+    fn handle_call_report(&mut self, report: CallReport) {
+        match report {
+            CallReport::Connected(call) => self.handle(Event::Discovery(DiscoveryEvent::Connected(call))),
+            CallReport::Heartbeat { call, read_at } => {
+                self.list_status.last_message_at = read_at;
+                let read_at = self.clock.at(read_at);
+                self.handle(Event::Discovery(DiscoveryEvent::Heartbeat { call, read_at }));
+            }
+            CallReport::Update { call, read_at, list } => self.handle_update(call, read_at, list),
+            CallReport::Ended { call, at, error } => self.handle_call_end(call, at, &error),
+        }
+    }
+
+    /// Handles the end of a call; a cancelled one has been reported already.
+    fn handle_call_end(&mut self, call: CallId, at: Instant, error: &CallError) {
+        let ended = self.calls().and_then(|calls| calls.remove_ended(call));
+        let Some(address) = ended else { return };
+        self.stats.discovery_calls_failed += 1;
+        let end = error.end();
+        match end {
+            CallEnd::Malformed => {
+                let version = self.balancer.list_version();
+                warn!(%address, call = call.0, version, %error, "discovery response is malformed");
+            }
+            CallEnd::Unreachable | CallEnd::Closed => {
+                info!(%address, call = call.0, %error, "discovery call ended");
+            }
+        }
+        let at = self.clock.at(at);
+        self.handle(Event::Discovery(DiscoveryEvent::Ended { call, at, end }));
+    }
+
+    /// Handles a list, or changes of one, that a call has delivered.
+    fn handle_update(&mut self, call: CallId, read_at: Instant, list: EndpointList) {
+        let EndpointList { version, complete, endpoints } = list;
+        let admitted = self.balancer.admits_update(call, version, complete);
+        match admitted {
+            true => {
+                let count = endpoints.len();
+                info!(call = call.0, version, complete, endpoints = count, "endpoint list updated");
+            }
+            false => info!(call = call.0, version, complete, "endpoint list update ignored"),
+        }
+        // Upstreams change first, as the balancer may send by the new list at once. A list that it would not admit
+        // changes none.
+        let entries = if admitted { self.apply_to_upstreams(complete, endpoints) } else { Vec::new() };
+        self.list_status.last_message_at = read_at;
+        let read_at = self.clock.at(read_at);
+        self.handle(Event::Discovery(DiscoveryEvent::Update { call, read_at, version, complete, entries }));
+        if admitted && complete {
+            self.become_ready();
+        }
+    }
+
+    /// Applies a list that is fixed or cached.
+    pub(super) fn apply_list(&mut self, scope: ListScope, endpoints: Vec<ListedEndpoint>) {
+        let entries = self.apply_to_upstreams(true, endpoints);
+        let in_use = entries.iter().any(|entry| entry.state == EndpointState::Up);
+        self.handle(Event::List { scope, entries });
+        match scope {
+            ListScope::Full => self.become_ready(),
+            ListScope::Cached => self.list_status.has_cached |= in_use,
+            ListScope::Delta | ListScope::Failed => {}
+        }
+    }
+
+    fn apply_to_upstreams(&mut self, complete: bool, endpoints: Vec<ListedEndpoint>) -> Vec<Endpoint> {
+        self.clock.follow_wall_clock();
+        let mut context = Context {
+            balancer: &self.balancer,
+            clock: &self.clock,
+            names: &mut self.names,
+            upstreams: &self.parts.upstreams,
+        };
+        self.endpoints.apply(complete, endpoints, &mut context)
+    }
+
+    /// Opens a call to discovery.
+    pub(super) fn subscribe(&mut self, call: CallId, after: Option<u64>) {
+        self.stats.discovery_calls += 1;
+        if let Some(calls) = self.calls() {
+            calls.open(call, after);
+        }
+    }
+
+    /// Cancels a call to discovery.
+    pub(super) fn unsubscribe(&mut self, call: CallId, reason: CancelReason) {
+        let cancelled = self.calls().and_then(|calls| calls.cancel(call));
+        let Some(address) = cancelled else { return };
+        if reason != CancelReason::Moved {
+            self.stats.discovery_calls_failed += 1;
+        }
+        info!(%address, call = call.0, ?reason, "discovery call cancelled");
+    }
+
+    fn calls(&mut self) -> Option<&mut Calls> {
+        self.parts.discovery.as_mut().map(|(calls, _)| calls)
+    }
+
+    /// Passes on to the upstreams until when the list is valid: after that they write no request's first byte.
+    pub(super) fn follow_list_validity(&mut self) {
+        let valid_until = self.balancer.list_valid_until();
+        self.parts.upstreams.set_list_valid_until(self.clock.instant(valid_until));
+        let is_valid = self.clock.at(Instant::now()) < valid_until;
+        let was_valid = std::mem::replace(&mut self.list_status.is_valid, is_valid);
+        if is_valid == was_valid {
+            return;
+        }
+        let list_age_ms = self.list_status.age().as_millis() as u64;
+        match is_valid {
+            true => info!(list_age_ms, "endpoint list is valid again"),
+            false => {
+                warn!(list_age_ms, "endpoint list is stale, requests are rejected until discovery responds")
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/driver/endpoints.rs
@@ -0,0 +1,197 @@
+//! The listed endpoints: where each is, and whether new requests may be sent there.
+
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+use leadrelay_core::names::{Names, hash_name, intern};
+use leadrelay_core::{Balancer, CellId, Endpoint, EndpointId, EndpointState, MachineClassId, Millis, ZoneId};
+use rustc_hash::{FxHashMap, FxHashSet};
+
+use super::clock::Clock;
+use crate::listed_endpoint::{Health, ListedEndpoint};
+use crate::upstream::{Upstream, Upstreams};
+
+/// Zones and machine classes that are told apart: bounds memory over the years, as discovery may name ever new ones.
+const MAX_NAMES: usize = 4096;
+/// Endpoints whose ids are remembered after they have left the list.
+const MAX_REMEMBERED: usize = 10_000;
+
+/// What is needed to make the upstream and the balancer's entry of an endpoint.
+pub struct Context<'a> {
+    pub balancer: &'a Balancer,
+    pub clock: &'a Clock,
+    pub names: &'a mut Names,
+    pub upstreams: &'a Upstreams,
+}
+
+/// When an endpoint started, by discovery and by the balancer's clock.
+#[derive(Clone, Copy)]
+struct StartTime {
+    unix_ms: f64,
+    at: Option<Millis>,
+}
+
+/// The listed endpoints.
+#[derive(Default)]
+pub struct Endpoints {
+    upstreams: FxHashMap<EndpointId, Rc<Upstream>>,
+    /// The present list.
+    listed: FxHashMap<EndpointId, ListedEndpoint>,
+    /// When each listed endpoint started. Converted once, as the wall clock may be stepped afterwards.
+    start_times: FxHashMap<EndpointId, StartTime>,
+    ever_listed: RememberedIds,
+}
+
+impl Endpoints {
+    /// Applies a list; returns its entries for the balancer. Endpoints that a complete list lacks get no new requests.
+    pub fn apply(
+        &mut self, complete: bool, endpoints: Vec<ListedEndpoint>, context: &mut Context,
+    ) -> Vec<Endpoint> {
+        if complete {
+            self.listed.clear();
+        }
+        let entries: Vec<Endpoint> =
+            endpoints.into_iter().map(|endpoint| self.apply_entry(endpoint, context)).collect();
+        if complete {
+            let listed: FxHashSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
+            self.retain(&listed);
+        }
+        entries
+    }
+
+    /// Drops the endpoints that are not listed. Attempts in flight keep what they need of them.
+    fn retain(&mut self, listed: &FxHashSet<EndpointId>) {
+        self.start_times.retain(|id, _| listed.contains(id));
+        self.upstreams.retain(|id, upstream| {
+            let is_listed = listed.contains(id);
+            if !is_listed {
+                upstream.set_open(false);
+            }
+            is_listed
+        });
+    }
+
+    fn apply_entry(&mut self, endpoint: ListedEndpoint, context: &mut Context) -> Endpoint {
+        let id = EndpointId(hash_name(&endpoint.name));
+        self.ever_listed.add(id);
+        let state = endpoint_state(&endpoint);
+        self.connect(id, &endpoint, context);
+        if let Some(upstream) = self.upstreams.get(&id) {
+            upstream.set_open(state == EndpointState::Up);
+        }
+        let entry = Endpoint {
+            id,
+            zone: number_of(&mut context.names.zones, endpoint.zone.as_deref()).map(ZoneId),
+            machine_class: number_of(&mut context.names.machine_classes, endpoint.machine_class.as_deref())
+                .map(MachineClassId),
+            cell: endpoint.cell.map(CellId),
+            state,
+            weight: endpoint.weight.unwrap_or(1.0),
+            started_at: self.started_at(id, endpoint.started_unix_ms, context.clock),
+        };
+        if state == EndpointState::Removed {
+            self.upstreams.remove(&id);
+            self.listed.remove(&id);
+            self.start_times.remove(&id);
+        } else {
+            self.listed.insert(id, endpoint);
+        }
+        entry
+    }
+
+    fn started_at(&mut self, id: EndpointId, unix_ms: f64, clock: &Clock) -> Option<Millis> {
+        let known = self.start_times.get(&id).filter(|start| start.unix_ms == unix_ms);
+        let start = known.copied().unwrap_or_else(|| StartTime { unix_ms, at: clock.at_unix(unix_ms) });
+        self.start_times.insert(id, start);
+        start.at
+    }
+
+    /// Makes the upstream of an endpoint's process, unless there is one for that process at that address.
+    fn connect(&mut self, id: EndpointId, endpoint: &ListedEndpoint, context: &mut Context) {
+        let Some(address) = endpoint.address else { return };
+        let is_same = |upstream: &Rc<Upstream>| {
+            upstream.address == address && upstream.born_ms == endpoint.started_unix_ms
+        };
+        if self.upstreams.get(&id).is_some_and(is_same) {
+            return;
+        }
+        let upstream = Upstream::new(address, endpoint.started_unix_ms);
+        upstream.set_banned(context.balancer.in_maintenance(id));
+        context.upstreams.add(&upstream);
+        if let Some(replaced) = self.upstreams.insert(id, upstream) {
+            replaced.set_open(false);
+        }
+    }
+
+    /// The socket side of an endpoint.
+    pub fn upstream(&self, id: EndpointId) -> Option<&Rc<Upstream>> {
+        self.upstreams.get(&id)
+    }
+
+    /// The name of a listed endpoint.
+    pub fn name(&self, id: EndpointId) -> Option<&str> {
+        self.listed.get(&id).map(|endpoint| endpoint.name.as_str())
+    }
+
+    /// The present list.
+    pub fn listed(&self) -> impl Iterator<Item = &ListedEndpoint> {
+        self.listed.values()
+    }
+
+    /// Whether an endpoint has ever been listed.
+    pub fn was_listed(&self, id: EndpointId) -> bool {
+        self.ever_listed.ids.contains(&id)
+    }
+
+    /// The endpoints that have ever been listed.
+    pub fn ever_listed(&self) -> impl Iterator<Item = EndpointId> {
+        self.ever_listed.ids.iter().copied()
+    }
+
+    /// Remembers an endpoint that a predecessor process has seen listed.
+    pub fn remember(&mut self, id: EndpointId) {
+        self.ever_listed.add(id);
+    }
+}
+
+/// An endpoint without an address gets no new requests.
+fn endpoint_state(endpoint: &ListedEndpoint) -> EndpointState {
+    match endpoint.health {
+        Health::Up if endpoint.address.is_some() => EndpointState::Up,
+        Health::Up | Health::Draining => EndpointState::Draining,
+        Health::Removed => EndpointState::Removed,
+    }
+}
+
+/// The ids of the endpoints that were listed last, whether listed at present or not.
+#[derive(Default)]
+struct RememberedIds {
+    ids: FxHashSet<EndpointId>,
+    /// Oldest first.
+    order: VecDeque<EndpointId>,
+}
+
+impl RememberedIds {
+    fn add(&mut self, id: EndpointId) {
+        if !self.ids.insert(id) {
+            return;
+        }
+        self.order.push_back(id);
+        if self.order.len() > MAX_REMEMBERED
+            && let Some(oldest) = self.order.pop_front()
+        {
+            self.ids.remove(&oldest); // if it is still listed, its next entry adds it again
+        }
+    }
+}
+
+/// The number of a zone or machine class; beyond `MAX_NAMES` of them a new name has none.
+fn number_of(names: &mut Vec<String>, name: Option<&str>) -> Option<u32> {
+    let name = name?;
+    let number = match names.iter().position(|known| known == name) {
+        Some(number) => number,
+        None if names.len() < MAX_NAMES => intern(names, name),
+        None => return None,
+    };
+    u32::try_from(number).ok()
+}
--- a/crates/proxy/src/driver/housekeeping.rs
+++ b/crates/proxy/src/driver/housekeeping.rs
@@ -1,4 +1,4 @@
-//! Periodic work: gauges, idle connections, the handover, the summary in the log.
+//! Periodic work: gauges, idle connections, readiness, the handover file, the statistics in the log.
 
 use std::time::Duration;
 
@@ -6,69 +6,78 @@
 
 use super::Driver;
 
-/// Between looks at idle connections.
-const SWEEP_PERIOD: Duration = Duration::from_secs(1);
-/// Between counts of the listed backends.
-const GAUGE_PERIOD: Duration = Duration::from_millis(100);
-/// Between lines that sum up what was done.
-const TALLY_PERIOD: Duration = Duration::from_secs(5);
-/// If discovery has said nothing this long after the start, the remembered list is served from.
-const REMEMBERED_LIST_WAIT: Duration = Duration::from_millis(500);
-/// Without a remembered list that names a backend in use, the proxy serves without one this long after the start. Until
-/// discovery is back it refuses what comes; a proxy that does not answer would pass for one that never starts.
-const NO_LIST_WAIT: Duration = Duration::from_secs(5);
+/// Interval between updates of the gauges and looks at the handover file.
+const GAUGE_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between sweeps of idle connections and saves of the handover file.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between log events with the statistics.
+const STATS_INTERVAL: Duration = Duration::from_secs(5);
+/// With a cached endpoint list, the proxy is ready this long after its start even if discovery has not responded.
+const CACHED_LIST_READY_DELAY: Duration = Duration::from_millis(500);
+/// Without a cached endpoint list, the proxy is ready this long after its start and rejects requests until discovery
+/// responds: a proxy that never gets ready would be taken for one that does not start.
+const NO_LIST_READY_DELAY: Duration = Duration::from_secs(5);
 
-/// When each periodic work is due next.
+/// When each kind of periodic work is due next.
 pub struct Schedule {
-    started: Instant,
-    gauge_at: Instant,
-    sweep_at: Instant,
-    tally_at: Instant,
+    started_at: Instant,
+    gauges_due_at: Instant,
+    sweep_due_at: Instant,
+    stats_due_at: Instant,
 }
 
 impl Schedule {
+    /// The schedule of a driver that starts now.
     pub fn new() -> Self {
-        let started = Instant::now();
+        let started_at = Instant::now();
         Schedule {
-            started,
-            gauge_at: started,
-            sweep_at: started + SWEEP_PERIOD,
-            tally_at: started + TALLY_PERIOD,
+            started_at,
+            gauges_due_at: started_at,
+            sweep_due_at: started_at + SWEEP_INTERVAL,
+            stats_due_at: started_at + STATS_INTERVAL,
         }
     }
 
-    /// When to wake up at the latest; the summary is due at a sweep only.
-    pub fn next(&self) -> Instant {
-        self.sweep_at.min(self.gauge_at)
+    /// When the next work is due. The statistics are logged at a sweep only.
+    pub fn next_due_at(&self) -> Instant {
+        self.sweep_due_at.min(self.gauges_due_at)
     }
 }
 
 impl Driver {
     /// Does the periodic work that is due.
-    pub(super) fn keep_house(&mut self, schedule: &mut Schedule, now: Instant) {
-        if now >= schedule.gauge_at {
+    pub(super) fn housekeeping(&mut self, schedule: &mut Schedule, now: Instant) {
+        if now >= schedule.gauges_due_at {
             self.clock.follow_wall_clock();
             self.update_gauges();
             self.parts.upstreams.retire();
-            let wait = if self.has_remembered_list { REMEMBERED_LIST_WAIT } else { NO_LIST_WAIT };
-            if schedule.started.elapsed() >= wait {
-                self.serve();
-            }
+            self.become_ready_without_discovery(schedule.started_at);
             self.follow_handover();
-            schedule.gauge_at = now + GAUGE_PERIOD;
+            schedule.gauges_due_at = now + GAUGE_INTERVAL;
         }
-        if now >= schedule.sweep_at {
+        if now >= schedule.sweep_due_at {
             self.parts.upstreams.sweep();
-            self.look_at_handover();
-            schedule.sweep_at = now + SWEEP_PERIOD;
-            if now >= schedule.tally_at {
-                self.tally.log(&self.parts.metrics, self.last_news.elapsed());
-                schedule.tally_at = now + TALLY_PERIOD;
+            self.check_handover();
+            schedule.sweep_due_at = now + SWEEP_INTERVAL;
+            if now >= schedule.stats_due_at {
+                self.stats.log_and_reset(&self.parts.metrics, self.list_status.age());
+                schedule.stats_due_at = now + STATS_INTERVAL;
             }
         }
     }
 
+    fn become_ready_without_discovery(&mut self, started_at: Instant) {
+        let delay = match self.list_status.has_cached {
+            true => CACHED_LIST_READY_DELAY,
+            false => NO_LIST_READY_DELAY,
+        };
+        if started_at.elapsed() >= delay {
+            self.become_ready();
+        }
+    }
+
     fn update_gauges(&self) {
-        self.parts.metrics.gauge(&self.balancer.gauges(self.clock.at(Instant::now())));
+        let now = self.clock.at(Instant::now());
+        self.parts.metrics.set_gauges(&self.balancer.gauges(now));
     }
 }
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -1,11 +1,11 @@
-//! Why a proxy does not start or has ended.
+//! Errors that keep a proxy from starting or end it.
 
 use std::io;
 
 use crate::config::Faults;
-use crate::handover::PassedSocketError;
+use crate::passed_socket::PassedSocketError;
 
-/// What went wrong, in words for whoever started the proxy.
+/// Why a proxy does not start or has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The configuration can't be used.
@@ -14,26 +14,27 @@
     /// Something in the environment can't be used.
     #[error("{0}")]
     Environment(#[from] PassedSocketError),
-    /// The system refused something, a port in use as a rule.
+    /// The system refused something, usually a port that is in use.
     #[error("{what}: {source}")]
     System {
-        /// What was wanted.
+        /// What was needed.
         what: String,
-        /// What the system said.
+        /// The system's error.
         source: io::Error,
     },
-    /// The decisions have ended while the proxy ran.
+    /// The driver has ended while the proxy ran.
     #[error("the driver has ended: {0}")]
     Driver(String),
 }
 
 impl Error {
+    /// A conversion for errors of the system, with what was needed.
     pub(crate) fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> Error {
         let what = what.into();
         move |source| Error::System { what, source }
     }
 
-    /// Whether the one who started the proxy has to change what it was told.
+    /// Whether the configuration or the environment must be changed.
     pub fn is_usage(&self) -> bool {
         matches!(self, Error::Config(_) | Error::Environment(_))
     }
--- a/crates/proxy/src/frontend/body.rs
+++ b/crates/proxy/src/frontend/body.rs
@@ -59,8 +59,9 @@
         let (sender, stream) = BodyStream::new(length);
         let upload = forward_body(rest, (read, memory), pace, sender, self.upstreams.memory.pieces.clone());
         let (begun, complete) = (self.inbox.clone(), self.inbox.clone());
-        let on_begin = Box::new(move |patience| begun.put(Input::UploadBegun(id, patience)));
-        let on_complete = Rc::new(move || complete.put(Input::Uploaded(id)));
+        let on_begin =
+            Box::new(move |client_timeout| begun.put(Input::UploadStarted { request: id, client_timeout }));
+        let on_complete = Rc::new(move || complete.put(Input::UploadComplete(id)));
         let stream = RefCell::new(Some(stream));
         let answer_by = Instant::now() + answer_timeout;
         let body = RequestBody::Streamed(Upload { stream, answer_by, on_begin, on_complete });
--- a/crates/proxy/src/frontend/budget.rs
+++ b/crates/proxy/src/frontend/budget.rs
@@ -20,7 +20,11 @@
 impl Budget {
     /// The sockets that this process may use at present.
     pub(super) fn now(&self) -> usize {
-        if self.handover.as_ref().is_some_and(|handover| handover.twin()) { self.shared } else { self.whole }
+        if self.handover.as_ref().is_some_and(|handover| handover.has_overlap()) {
+            self.shared
+        } else {
+            self.whole
+        }
     }
 
     /// Requests that may be in flight at present.
--- a/crates/proxy/src/frontend/request.rs
+++ b/crates/proxy/src/frontend/request.rs
@@ -121,16 +121,16 @@
         self.inbox.put(Input::Request(Box::new(Arrival {
             id,
             class: meta.class.id,
-            hold: meta.class.hold,
+            class_lease: meta.class.lease,
             tenant: meta.tenant,
             key: meta.key,
-            hint: meta.hint,
+            expected_cost: meta.hint,
             deadline: arrived_at + meta.patience,
-            upload: streamed.then_some(meta.patience),
+            upload_timeout: streamed.then_some(meta.patience),
             message,
             answer,
             access_record,
-            open: open_id,
+            open_id,
         })));
         Ok(Submitted { answered, ticket })
     }
@@ -256,7 +256,7 @@
         if !self.armed {
             return;
         }
-        self.frontend.inbox.put(Input::Gone(self.id));
+        self.frontend.inbox.put(Input::ClientDisconnected(self.id));
         if !self.client.has_disconnected() {
             self.frontend.metrics.violated(Invariant::AnsweredBeforeClose, &self.request);
         }
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -27,13 +27,13 @@
         match answer {
             Answer::Served(reply) => self.served(reply, ticket, client),
             // No other backend could take over: the client sees what this one said.
-            Answer::Passed(reply) => {
+            Answer::UpstreamError(reply) => {
                 ticket.end(Cause::BackendError);
                 reply_response(reply)
             }
-            Answer::Refused { after, tried } => {
-                ticket.end(if tried { Cause::RefusedTried } else { Cause::RefusedUntried });
-                self.refused(after)
+            Answer::Rejected { retry_after, attempted } => {
+                ticket.end(if attempted { Cause::RefusedTried } else { Cause::RefusedUntried });
+                self.refused(retry_after)
             }
             Answer::Failed => {
                 ticket.end(Cause::Failed);
--- a/crates/proxy/src/frontend/shutdown.rs
+++ b/crates/proxy/src/frontend/shutdown.rs
@@ -35,11 +35,11 @@
         self.stopping.set(true);
         let longest = Duration::from_secs_f64(self.classes.borrow().longest().clamp(0.0, 1e9) / 1000.0);
         let end = Instant::now() + longest.min(MAX_DEADLINE) + KILL_TIME - ANSWER_MARGIN;
-        self.inbox.put(Input::Ending(end));
-        if self.budget.handover.as_ref().is_some_and(|handover| handover.leave()) {
+        self.inbox.put(Input::ShutdownDeadline(end));
+        if self.budget.handover.as_ref().is_some_and(|handover| handover.announce_stop()) {
             self.leave_to_successor(listener).await;
         } else {
-            self.inbox.put(Input::Leaving);
+            self.inbox.put(Input::ShutdownStarted);
             self.accept_last(listener).await;
         }
         self.finish_requests(end + WRITE_TIME).await;
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the parts of the proxy tell the driver, and where they put it.
+//! What the other parts of the proxy report to the driver, and the channel that carries it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,83 +11,107 @@
 use tokio::time::Instant;
 
 use crate::access_record::AccessRecord;
-use crate::classes::Hold;
-use crate::host::Host;
+use crate::classes::ClassLease;
+use crate::listed_endpoint::ListedEndpoint;
 use crate::open_ids::OpenId;
 use crate::upstream::{Outgoing, Reply};
 
-/// What happens outside the module.
+/// What the driver is told by the other parts.
 pub enum Input {
-    /// A whole request has been read.
+    /// A request can be dispatched.
     Request(Box<Arrival>),
-    /// Its client has left.
-    Gone(RequestId),
-    /// The process ends, and no other takes its clients.
-    Leaving,
-    /// The process ends: by then every request has its answer.
-    Ending(Instant),
-    /// Other settings.
-    Retune(Box<(Reconfiguration, Connections)>),
-    /// An attempt has begun to take a body that is sent on while it comes; its client then had so much time left.
-    UploadBegun(RequestId, Duration),
-    /// The last byte of a body that is sent on while it comes has been taken.
-    Uploaded(RequestId),
+    /// The client of a request has disconnected.
+    ClientDisconnected(RequestId),
+    /// The process shuts down, and no successor takes its clients.
+    ShutdownStarted,
+    /// The process shuts down: every request must be answered by then.
+    ShutdownDeadline(Instant),
+    /// The configuration has been reloaded.
+    Reconfigure(Box<Reconfigured>),
+    /// An attempt has started to take a request body that is forwarded while it is received.
+    UploadStarted {
+        request: RequestId,
+        /// How long the client waits after the last byte of the body.
+        client_timeout: Duration,
+    },
+    /// The last byte of a request body that is forwarded while it is received has been taken.
+    UploadComplete(RequestId),
     /// An attempt has ended.
-    Ended { request: RequestId, attempt: u32, latency: Millis, outcome: Outcome, reply: Option<Reply> },
-    /// A list that is fixed or remembered.
-    List(ListScope, Vec<Host>),
-    /// Another proxy's message.
-    Datagram { from: u32, bytes: Vec<u8> },
+    AttemptEnded(AttemptEnd),
+    /// An endpoint list from the configuration, fixed or cached.
+    EndpointList { scope: ListScope, endpoints: Vec<ListedEndpoint> },
+    /// A gossip message from another proxy, which is named by its index.
+    Gossip { from: u32, bytes: Vec<u8> },
+}
+
+/// The settings that a reload has changed.
+pub struct Reconfigured {
+    pub balancer: Reconfiguration,
+    pub connections: Connections,
+}
+
+/// How an attempt ended.
+pub struct AttemptEnd {
+    pub request: RequestId,
+    /// Which attempt of the request it was, from 0.
+    pub attempt: u32,
+    /// From the send of the request's last byte to the start of the reply, or to the end without one.
+    pub latency: Millis,
+    pub outcome: Outcome,
+    /// The reply to pass on to the client, if there is one.
+    pub reply: Option<Reply>,
 }
 
 /// A client's request.
 pub struct Arrival {
     pub id: RequestId,
     pub class: ClassId,
-    pub hold: Hold,
+    pub class_lease: ClassLease,
     pub tenant: Option<TenantId>,
     pub key: Option<AffinityKey>,
-    pub hint: Option<Millis>,
+    pub expected_cost: Option<Millis>,
     /// When the client gives up.
     pub deadline: Instant,
-    /// How long it waits, where its time begins only with the last byte of its body.
-    pub upload: Option<Duration>,
+    /// How long the client waits after the last byte of its body, if the body is still being received.
+    pub upload_timeout: Option<Duration>,
     pub message: Outgoing,
     pub answer: oneshot::Sender<Answer>,
     /// `None` for requests that leave no access event.
     pub access_record: Option<Rc<AccessRecord>>,
-    /// Holds its id, unless another open request bears it too.
-    pub open: Option<OpenId>,
+    /// Reserves the request's own id, unless another open request has the same one.
+    pub open_id: Option<OpenId>,
 }
 
-/// The one final answer.
+/// The one final answer to a request.
 pub enum Answer {
     Served(Reply),
-    /// Trying again is harmless.
-    Refused {
-        /// After which span.
-        after: Option<Millis>,
+    /// The request has not been processed: a retry is harmless.
+    Rejected {
+        /// When the client should retry.
+        retry_after: Option<Millis>,
         /// Whether an attempt was made.
-        tried: bool,
+        attempted: bool,
     },
-    /// A backend's error, passed on.
-    Passed(Reply),
+    /// An upstream's error response, passed on.
+    UpstreamError(Reply),
+    /// The request may have been processed.
     Failed,
 }
 
-/// Where all parts put what they have seen.
+/// The sender of inputs to the driver.
 #[derive(Clone)]
 pub struct Inbox(mpsc::UnboundedSender<Input>);
 
 impl Inbox {
-    /// An inbox and the end that the driver reads. Its length is bounded by the budget of sockets: each
-    /// connection holds one request, and each request a few attempts.
+    /// An inbox and its receiver. The queue's length is bounded by the socket budget: each connection has one request
+    /// at a time, and each request a few attempts.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Inbox(sender), receiver)
     }
 
+    /// Queues an input.
     pub fn put(&self, input: Input) {
-        let _ = self.0.send(input); // fails only while the process ends
+        let _ = self.0.send(input); // fails only once the driver has been dropped at process exit
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,8 @@
-//! The sockets round [`leadrelay_core`]: clients, backends, discovery, peers and operators, every decision in the core.
+//! The I/O around [`leadrelay_core`]: clients, upstreams, discovery, peers and operators. Every decision is made by the
+//! core.
 //!
-//! [`config::read`] gives a [`config::Config`], a [`Process`] runs it by its signals, and [`spawn`] runs it in a thread
-//! of its own.
+//! [`config::read`] reads a [`config::Config`], a [`Process`] runs it and handles signals, and [`spawn`] runs it in a
+//! thread of its own.
 
 mod access_record;
 mod admin;
@@ -16,19 +17,19 @@
 mod frontend;
 mod handover;
 mod head;
-mod host;
 mod inbox;
+mod listed_endpoint;
 mod metrics;
 mod open_ids;
+mod passed_socket;
 mod peers;
 mod server;
 mod socket;
-mod tally;
 mod upstream;
 
 pub use cause::Cause;
 pub use error::Error;
-pub use handover::PassedSocketError;
-pub use host::Host;
+pub use listed_endpoint::ListedEndpoint;
 pub use metrics::{Metrics, RequestTicket};
+pub use passed_socket::PassedSocketError;
 pub use server::{Addresses, Process, Running, spawn};
--- /dev/null
+++ b/crates/proxy/src/metrics/dispatch.rs
@@ -0,0 +1,55 @@
+//! Metrics of the balancer's queue and its decisions.
+
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+
+use leadrelay_core::{Decision, Gauges};
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::registry::Registry;
+
+use super::labels::{ByChoice, register_by_word};
+
+/// Metrics of the queue and of decisions.
+pub struct DispatchMetrics {
+    decisions: [Counter; Decision::COUNT],
+    waiting: Gauge,
+    running: Gauge,
+    retry_budget: Gauge<f64, AtomicU64>,
+}
+
+impl DispatchMetrics {
+    /// Registers them.
+    pub fn register(registry: &mut Registry) -> Self {
+        let names = Decision::ALL.map(Decision::name);
+        let help = "What the two-speed threshold decided at each look at a waiting request";
+        let decisions = register_by_word::<ByChoice, Counter, _>(registry, "choices", help, names);
+        let waiting = Gauge::default();
+        registry.register("requests_waiting", "Requests in the proxy's own queue", waiting.clone());
+        let running = Gauge::default();
+        registry.register("requests_running", "Requests with an attempt out", running.clone());
+        let retry_budget = Gauge::<f64, AtomicU64>::default();
+        let help = "Further attempts that the budget allows now";
+        registry.register("retry_budget", help, retry_budget.clone());
+        DispatchMetrics { decisions, waiting, running, retry_budget }
+    }
+
+    /// Sets the gauges, and the counters that the balancer keeps.
+    pub fn set(&self, gauges: &Gauges) {
+        for (counter, decision) in self.decisions.iter().zip(Decision::ALL) {
+            counter.inner().store(gauges.decisions.count(decision), Relaxed);
+        }
+        self.waiting.set(gauges.waiting as i64);
+        self.running.set(gauges.running as i64);
+        self.retry_budget.set(gauges.retry_budget);
+    }
+
+    /// How often each decision was made, by its name.
+    pub fn decisions(&self) -> [(&'static str, u64); Decision::COUNT] {
+        Decision::ALL.map(|decision| (decision.name(), self.decisions[decision as usize].get()))
+    }
+
+    /// How many requests are queued.
+    pub fn waiting(&self) -> i64 {
+        self.waiting.get()
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/metrics/invariants.rs
@@ -0,0 +1,46 @@
+//! Metrics of violated invariants.
+
+use std::sync::atomic::Ordering::Relaxed;
+
+use leadrelay_core::{Gauges, Invariant};
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::family::Family;
+use prometheus_client::registry::Registry;
+
+use super::labels::{ByInvariant, Word};
+
+/// Violations, by the layer that saw them.
+pub struct InvariantMetrics {
+    /// Decisions of the balancer that were not carried out.
+    decisions: [Counter; Invariant::COUNT],
+    /// What was seen at a socket.
+    sockets: [Counter; Invariant::COUNT],
+}
+
+impl InvariantMetrics {
+    /// Registers them.
+    pub fn register(registry: &mut Registry) -> Self {
+        let violations = Family::<ByInvariant, Counter>::default();
+        let help = "Violations of the proxy's own invariants, each a fault of the program, by the layer that saw them";
+        registry.register("invariant_violations", help, violations.clone());
+        let in_layer = |layer: &'static str| {
+            Invariant::ALL.map(|invariant| {
+                let labels = ByInvariant { invariant: Word(invariant.name()), layer: Word(layer) };
+                violations.get_or_create_owned(&labels)
+            })
+        };
+        InvariantMetrics { decisions: in_layer("decision"), sockets: in_layer("socket") }
+    }
+
+    /// Sets the counters that the balancer keeps.
+    pub fn set(&self, gauges: &Gauges) {
+        for (counter, invariant) in self.decisions.iter().zip(Invariant::ALL) {
+            counter.inner().store(gauges.violations.count(invariant), Relaxed);
+        }
+    }
+
+    /// Counts a violation at a socket.
+    pub fn violated(&self, invariant: Invariant) {
+        self.sockets[invariant as usize].inc();
+    }
+}
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -1,34 +1,38 @@
-//! What is counted, and its two forms.
+//! The counts of requests, and their two forms.
+
+use std::sync::Arc;
+
+use leadrelay_core::EndpointStatus;
 
 use super::*;
 
 #[test]
-fn a_request_is_pending_until_it_ends_for_one_cause() {
+fn request_is_pending_until_it_ends_for_one_cause() {
     let metrics = Arc::new(Metrics::default());
-    metrics.show("idle");
+    metrics.show_class("idle");
     let take = || metrics.start_request("page", Instant::now());
     let (served, left) = (take(), take());
-    assert_eq!(metrics.report()["pending"], 2);
+    assert_eq!(metrics.stats()["pending"], 2);
     served.end(Cause::Served);
     drop(left);
-    let report = metrics.report();
-    assert_eq!(report["pending"], 0);
-    assert_eq!(report["completed"], json!({"idle": 0, "page": 1}));
-    assert_eq!((&report["rejected"]["page"], &report["failed"]["page"]), (&json!(0), &json!(0)));
+    let stats = metrics.stats();
+    assert_eq!(stats["pending"], 0);
+    assert_eq!(stats["completed"], json!({"idle": 0, "page": 1}));
+    assert_eq!((&stats["rejected"]["page"], &stats["failed"]["page"]), (&json!(0), &json!(0)));
     assert_eq!((metrics.ended(Cause::Served), metrics.ended(Cause::ClientLeft)), (1, 1));
 }
 
 #[test]
-fn both_forms_tell_the_same_counts() {
+fn openmetrics_and_stats_show_the_same_counts() {
     let metrics = Arc::new(Metrics::default());
     for cause in Cause::ALL {
         metrics.start_request("page", Instant::now()).end(cause);
     }
-    metrics.attempt(Outcome::Served, 20.0);
-    let mut now = Gauges::default();
-    now.endpoints_by_status[EndpointStatus::Ejected as usize] = 2;
-    now.endpoints_by_status[EndpointStatus::InUse as usize] = 5;
-    metrics.gauge(&now);
+    metrics.attempt_ended(Outcome::Served, 20.0);
+    let mut gauges = Gauges::default();
+    gauges.endpoints_by_status[EndpointStatus::Ejected as usize] = 2;
+    gauges.endpoints_by_status[EndpointStatus::InUse as usize] = 5;
+    metrics.set_gauges(&gauges);
     let text = metrics.openmetrics();
     for cause in Cause::ALL {
         let line = format!("leadrelay_requests_total{{class=\"page\",cause=\"{}\"}} 1\n", cause.name());
@@ -43,9 +47,9 @@
     ] {
         assert!(text.contains(line), "{line} in {text}");
     }
-    let report = metrics.report();
-    assert_eq!((&report["members"], &report["members_unavailable"]), (&json!(7), &json!(2)));
-    assert_eq!((&report["rejected"]["page"], &report["failed"]["page"]), (&json!(3), &json!(3)));
+    let stats = metrics.stats();
+    assert_eq!((&stats["members"], &stats["members_unavailable"]), (&json!(7), &json!(2)));
+    assert_eq!((&stats["rejected"]["page"], &stats["failed"]["page"]), (&json!(3), &json!(3)));
 }
 
 /// All lines of a text, sorted: the order of families, and of the samples of one, carries no meaning.
@@ -58,7 +62,7 @@
 #[test]
 fn names_types_help_texts_and_labels_are_as_recorded() {
     let metrics = Arc::new(Metrics::default());
-    metrics.show("page");
+    metrics.show_class("page");
     let text = metrics.openmetrics();
     assert!(text.ends_with("# EOF\n"));
     assert_eq!(sorted_lines(&text), include_str!("tests/openmetrics.txt").lines().collect::<Vec<_>>());
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,7 +1,9 @@
-//! Datagrams between proxies: short, unordered, perhaps lost.
+//! Gossip between proxies: datagrams that are short, unordered, and may be lost.
 
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 use tokio::net::UdpSocket;
 use tracing::{error, info};
@@ -9,74 +11,92 @@
 use crate::config::PeerAddresses;
 use crate::inbox::{Inbox, Input};
 
-const MAX_MESSAGE: usize = 256; // bytes of a message, by the protocol
-/// What a waiting datagram takes of a socket's buffer, the system's own bookkeeping included.
-const BUFFERED: usize = 1280;
+/// Longest message of the protocol, in bytes.
+const MAX_MESSAGE_SIZE: usize = 256;
+/// What a queued datagram takes of a socket's buffer in bytes, with the system's own data about it.
+const BUFFER_PER_DATAGRAM: usize = 1280;
+/// Wait after a failed receive, which would be repeated at once otherwise.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Lets the socket's buffers hold a datagram for each proxy, as far as the system allows it: all of them may tell
-/// something while this one is busy, and each is told at once.
-fn fit_buffers(socket: &socket2::Socket, proxies: usize) -> io::Result<()> {
-    let need = proxies * BUFFERED;
-    if socket.recv_buffer_size()? < need {
-        socket.set_recv_buffer_size(need)?;
-    }
-    if socket.send_buffer_size()? < need {
-        socket.set_send_buffer_size(need)?;
-    }
-    Ok(())
-}
-
-/// Sends to the other proxies.
+/// The socket for gossip with the other proxies.
 pub struct Peers {
     socket: UdpSocket,
     addresses: PeerAddresses,
 }
 
 impl Peers {
-    /// Binds the socket; with `shared`, beside another process of this proxy. The one that came last hears.
-    pub fn bind(addresses: PeerAddresses, shared: bool) -> io::Result<Rc<Self>> {
+    /// Binds the socket. If the address is shared with an overlapping process of this proxy, the one that has bound it
+    /// last receives.
+    pub fn bind(addresses: PeerAddresses, is_shared: bool) -> io::Result<Rc<Self>> {
         let domain = socket2::Domain::for_address(addresses.listen);
         let socket = socket2::Socket::new(domain, socket2::Type::DGRAM, None)?;
-        socket.set_reuse_address(shared)?;
+        socket.set_reuse_address(is_shared)?;
         socket.set_nonblocking(true)?;
-        fit_buffers(&socket, addresses.peers.len())?;
+        enlarge_buffers(&socket, addresses.peers.len())?;
         socket.bind(&addresses.listen.into())?;
         Ok(Rc::new(Peers { socket: UdpSocket::from_std(socket.into())?, addresses }))
     }
 
-    /// Sends a message to every other proxy. What the socket can't take at once is lost, as on the way.
-    pub fn broadcast(&self, bytes: &[u8]) {
-        if bytes.len() > MAX_MESSAGE {
-            error!(bytes = bytes.len(), "a message is too long and not sent");
+    /// Sends a message to every other proxy. What the socket can't take at once is lost.
+    pub fn broadcast(&self, message: &[u8]) {
+        if message.len() > MAX_MESSAGE_SIZE {
+            error!(bytes = message.len(), "gossip message too long, not sent");
             return;
         }
-        let own = self.addresses.listen;
-        let others = self.addresses.peers.iter().copied().filter(|p| *p != own);
-        let targets = self.addresses.all.map_or_else(|| others.collect(), |all| vec![all]);
-        for target in targets {
-            if let Err(e) = self.socket.try_send_to(bytes, target) {
-                info!(%target, error = %e, "a message is not sent");
+        match self.addresses.all {
+            Some(all) => self.send(message, all),
+            None => {
+                let own = self.addresses.listen;
+                for peer in self.addresses.peers.iter().filter(|peer| **peer != own) {
+                    self.send(message, *peer);
+                }
             }
         }
     }
 
-    /// Hands on what the others send; a datagram from elsewhere or over the size is dropped.
+    fn send(&self, message: &[u8], target: SocketAddr) {
+        if let Err(error) = self.socket.try_send_to(message, target) {
+            info!(%target, %error, "gossip message not sent");
+        }
+    }
+
+    /// Passes on what the other proxies send. A datagram of another sender or over the maximum size is dropped.
     pub async fn listen(self: Rc<Self>, inbox: Inbox) {
-        let mut buffer = [0; MAX_MESSAGE + 1];
+        let mut buffer = [0; MAX_MESSAGE_SIZE + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
-                Ok((size, from)) => match self.addresses.peers.iter().position(|p| *p == from) {
-                    Some(number) if size <= MAX_MESSAGE => {
-                        inbox.put(Input::Datagram { from: number as u32, bytes: buffer[..size].to_vec() });
-                    }
-                    _ => info!(%from, size, "a datagram from elsewhere or too long is dropped"),
-                },
-                // An earlier send's refusal may be reported here.
-                Err(e) => {
-                    info!(error = %e, "a message did not arrive");
-                    tokio::time::sleep(std::time::Duration::from_millis(10)).await;
+                Ok((size, sender)) => self.receive(&buffer[..size], sender, &inbox),
+                // May be the error of an earlier send.
+                Err(error) => {
+                    info!(%error, "gossip receive failed");
+                    tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 }
             }
         }
     }
+
+    fn receive(&self, message: &[u8], sender: SocketAddr, inbox: &Inbox) {
+        let peer = self.addresses.peers.iter().position(|peer| *peer == sender);
+        match peer {
+            Some(index) if message.len() <= MAX_MESSAGE_SIZE => {
+                inbox.put(Input::Gossip { from: index as u32, bytes: message.to_vec() });
+            }
+            _ => {
+                info!(from = %sender, size = message.len(), "gossip message dropped, sender unknown or too long")
+            }
+        }
+    }
+}
+
+/// Enlarges the socket's buffers for one datagram per proxy, as far as the system allows: all of them may send while this
+/// one is busy, and a broadcast goes to all at once.
+fn enlarge_buffers(socket: &socket2::Socket, proxies: usize) -> io::Result<()> {
+    let size = proxies * BUFFER_PER_DATAGRAM;
+    if socket.recv_buffer_size()? < size {
+        socket.set_recv_buffer_size(size)?;
+    }
+    if socket.send_buffer_size()? < size {
+        socket.set_send_buffer_size(size)?;
+    }
+    Ok(())
 }
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -21,7 +21,7 @@
     /// Opens a connection once the budget has a socket for it.
     pub(super) async fn dial(&self, address: SocketAddr) -> io::Result<Connection> {
         let permit = Rc::new(self.acquire_socket().await?);
-        self.metrics.dials.inc();
+        self.metrics.upstream_connected();
         let stream = Rc::new(TcpStream::connect(address).await?);
         stream.set_nodelay(true)?;
         let progress = Rc::new(RequestProgress::new(self.metrics.clone()));
--- a/crates/proxy/src/upstream/request_progress.rs
+++ b/crates/proxy/src/upstream/request_progress.rs
@@ -165,7 +165,7 @@
         let was_complete = self.complete();
         self.advance(bytes);
         if let Some(metrics) = self.metrics.as_ref().filter(|_| !was_complete && self.complete()) {
-            metrics.upstream_requests.inc();
+            metrics.attempt_written();
         }
     }
 
