--- a/crates/proxy/src/config/fault.rs
+++ b/crates/proxy/src/config/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a configuration file, each at its place.
+//! Faults of a configuration file, each with its place in the text.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -29,8 +29,8 @@
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for (n, fault) in self.faults.iter().enumerate() {
-            let end = if n + 1 < self.faults.len() { "\n" } else { "" };
+        for (index, fault) in self.faults.iter().enumerate() {
+            let end = if index + 1 < self.faults.len() { "\n" } else { "" };
             match fault.line {
                 0 => write!(f, "{}: {}{end}", self.file, fault.message)?,
                 line => write!(f, "{}:{line}:{}: {}{end}", self.file, fault.column, fault.message)?,
@@ -53,19 +53,21 @@
 /// A file's text with the places of its values.
 pub(super) struct Text<'a> {
     text: &'a str,
-    /// Where keys and values stand, by their JSON pointers.
+    /// The bytes of each key, by its JSON pointer.
     keys: HashMap<String, Range<usize>>,
+    /// The bytes of each value, by its JSON pointer.
     values: HashMap<String, Range<usize>>,
 }
 
 impl<'a> Text<'a> {
-    /// Reads a TOML text as far as it can be read; what can't be is told with its place.
+    /// Parses a TOML text as far as it can be parsed; the rest is reported as faults.
     pub fn read(text: &'a str) -> (Self, Value, Vec<Fault>) {
         let (table, errors) = DeTable::parse_recoverable(text);
-        let mut own = Text { text, keys: HashMap::new(), values: HashMap::new() };
-        let value = own.table("", table.get_ref());
-        let faults = errors.iter().map(|e| own.fault(e.span().unwrap_or(0..0), e.message())).collect();
-        (own, value, faults)
+        let mut places = Text { text, keys: HashMap::new(), values: HashMap::new() };
+        let value = places.table("", table.get_ref());
+        let faults =
+            errors.iter().map(|error| places.fault(error.span().unwrap_or(0..0), error.message())).collect();
+        (places, value, faults)
     }
 
     fn table(&mut self, pointer: &str, table: &DeTable) -> Value {
@@ -83,26 +85,26 @@
     fn value(&mut self, pointer: &str, value: &DeValue) -> Value {
         match value {
             DeValue::String(text) => Value::String(text.to_string()),
-            DeValue::Boolean(yes) => Value::Bool(*yes),
-            DeValue::Integer(n) => {
-                i64::from_str_radix(n.as_str(), n.radix()).map_or(Value::Null, Value::from)
+            DeValue::Boolean(value) => Value::Bool(*value),
+            DeValue::Integer(number) => {
+                i64::from_str_radix(number.as_str(), number.radix()).map_or(Value::Null, Value::from)
             }
-            DeValue::Float(x) => x.as_str().parse::<f64>().map_or(Value::Null, Value::from),
+            DeValue::Float(number) => number.as_str().parse::<f64>().map_or(Value::Null, Value::from),
             DeValue::Datetime(time) => Value::String(time.to_string()),
             DeValue::Table(table) => self.table(pointer, table),
             DeValue::Array(array) => {
-                let mut all = Vec::new();
-                for (n, value) in array.iter().enumerate() {
-                    let below = format!("{pointer}/{n}");
-                    self.values.insert(below.clone(), value.span());
-                    all.push(self.value(&below, value.get_ref()));
+                let mut items = Vec::new();
+                for (index, item) in array.iter().enumerate() {
+                    let item_pointer = format!("{pointer}/{index}");
+                    self.values.insert(item_pointer.clone(), item.span());
+                    items.push(self.value(&item_pointer, item.get_ref()));
                 }
-                Value::Array(all)
+                Value::Array(items)
             }
         }
     }
 
-    /// A fault of what stands at these bytes.
+    /// A fault at these bytes of the text.
     pub fn fault(&self, span: Range<usize>, message: impl Into<String>) -> Fault {
         let mut start = span.start.min(self.text.len());
         while !self.text.is_char_boundary(start) {
@@ -116,7 +118,7 @@
         Fault { line, column, message }
     }
 
-    /// A fault of the value at a JSON pointer, or of the nearest one above it that stands in the text.
+    /// A fault of the value at a JSON pointer, or of the closest one around it that is in the text.
     pub fn at(&self, pointer: &str, message: impl Into<String>) -> Fault {
         let mut pointer = pointer;
         loop {
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: JSON, with the settings of their simulator.
+//! The operators' configuration file: JSON, with the settings of their simulator.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,17 @@
 use super::fault::Fault;
 use super::{Config, Dialect, Logging, Origin, PeerAddresses, Source, max_open_requests};
 
-/// The file as it stands; unknown keys are passed over.
+/// Sockets where the file gives no limit.
+const DEFAULT_SOCKETS: usize = 1024;
+/// The least sockets that a proxy works with.
+const MIN_SOCKETS: usize = 64;
+/// Memory where the file gives no limit.
+const DEFAULT_MEMORY_MB: f64 = 64.0;
+const MIN_MEMORY_MB: f64 = 16.0;
+const MAX_MEMORY_MB: f64 = 65_536.0;
+const BYTES_PER_MB: f64 = 1e6;
+
+/// The form of the file; unknown keys are ignored.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -25,8 +35,8 @@
     #[serde(default)]
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
-    #[serde(default)]
-    known: Value,
+    #[serde(default, rename = "known")]
+    cached_list: Value,
     settings: Value,
 }
 
@@ -36,42 +46,46 @@
     memory_mb: Option<f64>,
 }
 
-/// A fault, at the place that a JSON parser tells if it has one.
-fn fault(e: &serde_json::Error) -> Fault {
-    Fault { line: e.line(), column: e.column(), message: e.to_string() }
+/// A fault at the place of a JSON parser's error.
+fn syntax_fault(error: &serde_json::Error) -> Fault {
+    Fault { line: error.line(), column: error.column(), message: error.to_string() }
 }
 
-fn plain(message: String) -> Fault {
+/// A fault without a place.
+fn fault(message: String) -> Fault {
     Fault { line: 0, column: 0, message }
 }
 
-/// Reads the file for a process that runs by `running`: nothing may be missing or out of place.
+/// Reads the file for a process that runs by the file `running`: nothing may be missing or malformed.
 pub(super) fn reparse(text: &str, running: &Value) -> Result<Config, Vec<Fault>> {
-    let raw = serde_json::from_str(text).map_err(|e| vec![fault(&e)])?;
-    complete(running, &raw, "").map_err(|e| vec![plain(e.to_string())])?;
-    strict(&raw)?;
-    parse(text).map_err(|e| vec![e])
+    let raw = serde_json::from_str(text).map_err(|error| vec![syntax_fault(&error)])?;
+    check_complete(running, &raw, "").map_err(|error| vec![fault(error.to_string())])?;
+    check_settings(&raw)?;
+    parse(text).map_err(|fault| vec![fault])
 }
 
-/// What is wrong with the settings of a file. A process that starts bears more than this: it fills in what is missing.
-fn strict(raw: &Value) -> Result<(), Vec<Fault>> {
-    let faults: Vec<Fault> = settings::faults(&raw["settings"]).into_iter().map(plain).collect();
+/// Reports all faults of the settings. A process that starts tolerates more: it uses defaults for what is missing.
+fn check_settings(raw: &Value) -> Result<(), Vec<Fault>> {
+    let faults: Vec<Fault> = settings::faults(&raw["settings"]).into_iter().map(fault).collect();
     if faults.is_empty() { Ok(()) } else { Err(faults) }
 }
 
-/// All that is wrong with a file that nobody runs by yet.
+/// Reports all faults of a file, those included that a process tolerates at its start.
 pub(super) fn check(text: &str) -> Result<Config, Vec<Fault>> {
-    let raw: Value = serde_json::from_str(text).map_err(|e| vec![fault(&e)])?;
-    match (parse(text), strict(&raw)) {
+    let raw: Value = serde_json::from_str(text).map_err(|error| vec![syntax_fault(&error)])?;
+    match (parse(text), check_settings(&raw)) {
         (Ok(config), Ok(())) => Ok(config),
-        (parsed, strict) => Err(parsed.err().into_iter().chain(strict.err().into_iter().flatten()).collect()),
+        (parsed, checked) => {
+            let faults = parsed.err().into_iter();
+            Err(faults.chain(checked.err().into_iter().flatten()).collect())
+        }
     }
 }
 
-/// Keys that may come and go.
+/// Keys that a reloaded file may lack.
 const OPTIONAL: [&str; 5] = ["known", "aimStretch", "passesDeadline", "warmKeys", "admin_addr"];
 
-/// A key of the running file that a new one lacks, or has with a value of another kind.
+/// A key of the running file that a new one lacks, or has with a value of another type.
 #[derive(Debug, thiserror::Error)]
 #[error("'{path}' is missing or of another kind")]
 struct IncompleteFile {
@@ -79,55 +93,55 @@
     path: String,
 }
 
-/// Whether a file has all keys that another one has, with values of the same kinds; its classes, those that all
-/// classes of the other one have.
-fn complete(old: &Value, new: &Value, path: &str) -> Result<(), IncompleteFile> {
-    if old.is_null() {
+/// Checks that a file has all keys of the running one, with values of the same types. Each item of a list must have the
+/// keys that all items of the running file's list have.
+fn check_complete(running: &Value, new: &Value, path: &str) -> Result<(), IncompleteFile> {
+    if running.is_null() {
         return Ok(());
     }
-    if old.is_number() != new.is_number()
-        || old.is_string() != new.is_string()
-        || old.is_object() != new.is_object()
-        || old.is_array() != new.is_array()
-        || old.is_boolean() != new.is_boolean()
-    {
+    if std::mem::discriminant(running) != std::mem::discriminant(new) {
         return Err(IncompleteFile { path: path.to_owned() });
     }
-    for (key, old) in
-        old.as_object().into_iter().flatten().filter(|(key, _)| !OPTIONAL.contains(&key.as_str()))
-    {
+    for (key, value) in running.as_object().into_iter().flatten() {
+        if OPTIONAL.contains(&key.as_str()) {
+            continue;
+        }
         let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
-        complete(old, &new[key], &path)?;
+        check_complete(value, &new[key], &path)?;
     }
-    if let (Some(old), Some(new)) = (old.as_array(), new.as_array())
-        && let Some((first, others)) = old.split_first()
-        && let Some(first) = first.as_object()
+    if let (Some(running), Some(new)) = (running.as_array(), new.as_array())
+        && let Some(common) = common_keys(running)
     {
-        let mut common = first.clone();
-        common.retain(|key, _| others.iter().all(|other| !other[key].is_null()));
-        let common = Value::Object(common);
-        new.iter().try_for_each(|new| complete(&common, new, path))?;
+        new.iter().try_for_each(|item| check_complete(&common, item, path))?;
     }
     Ok(())
 }
 
-/// Reads the file; a fault names what is wrong with it.
+/// The entries of the first item whose keys all items have; `None` if the items are no objects.
+fn common_keys(items: &[Value]) -> Option<Value> {
+    let (first, others) = items.split_first()?;
+    let mut common = first.as_object()?.clone();
+    common.retain(|key, _| others.iter().all(|other| !other[key].is_null()));
+    Some(Value::Object(common))
+}
+
+/// Parses a file for a process that starts; settings that are missing have defaults.
 pub(super) fn parse(text: &str) -> Result<Config, Fault> {
-    let mut raw: Value = serde_json::from_str(text).map_err(|e| fault(&e))?;
-    let file: File = serde_json::from_str(text).map_err(|e| fault(&e))?;
-    if let Some(all) = raw.as_object_mut() {
-        all.remove("known");
+    let mut raw: Value = serde_json::from_str(text).map_err(|error| syntax_fault(&error))?;
+    let file: File = serde_json::from_str(text).map_err(|error| syntax_fault(&error))?;
+    if let Some(entries) = raw.as_object_mut() {
+        entries.remove("known");
     }
     if !file.settings.is_object() {
-        return Err(plain("'settings' is no object".into()));
+        return Err(fault("'settings' is no object".into()));
     }
     let (mut settings, names) = settings::parse(&file.settings);
     if settings.classes.is_empty() || names.classes.iter().any(String::is_empty) {
-        return Err(plain("'settings' has no named classes".into()));
+        return Err(fault("'settings' has no named classes".into()));
     }
-    // A wrong number would make this proxy claim another's part of the servers.
+    // With a wrong index this proxy would claim another one's part of the capacity.
     if settings.proxy_index >= settings.proxies {
-        return Err(plain(format!(
+        return Err(fault(format!(
             "'settings': proxy number {} of {}",
             settings.proxy_index, settings.proxies
         )));
@@ -138,19 +152,19 @@
         }
         _ => None,
     };
-    let sockets = file.limits.sockets.unwrap_or(1024).max(64);
-    settings.limits.max_open_requests = max_open_requests(sockets);
+    let max_sockets = file.limits.sockets.unwrap_or(DEFAULT_SOCKETS).max(MIN_SOCKETS);
+    settings.limits.max_open_requests = max_open_requests(max_sockets);
     settings.notification_bounds = Some(NotificationBounds::default());
     Ok(Config {
         name: file.name,
         listen: file.listen,
         admin: file.admin_addr,
         source: Source::Discovery(file.discovery),
-        seed: seed(&file.seed).ok_or_else(|| plain("'seed' is neither text nor a whole number".into()))?,
-        max_sockets: sockets,
-        max_memory: (file.limits.memory_mb.unwrap_or(64.0).clamp(16.0, 65_536.0) * 1e6) as usize,
+        seed: seed(&file.seed).ok_or_else(|| fault("'seed' is neither text nor a whole number".into()))?,
+        max_sockets,
+        max_memory: max_memory(&file.limits),
         peers,
-        cached_list: file.known,
+        cached_list: file.cached_list,
         connections: settings::connections(&file.settings),
         settings,
         names,
@@ -160,7 +174,12 @@
     })
 }
 
-/// Hexadecimal as a rule; other text still gives the same number each time.
+fn max_memory(limits: &Limits) -> usize {
+    let megabytes = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).clamp(MIN_MEMORY_MB, MAX_MEMORY_MB);
+    (megabytes * BYTES_PER_MB) as usize
+}
+
+/// The seed of a number or a hexadecimal text; other text is hashed.
 fn seed(value: &Value) -> Option<u64> {
     match value {
         Value::String(text) => Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_name(text))),
--- a/crates/proxy/src/config/values.rs
+++ b/crates/proxy/src/config/values.rs
@@ -1,4 +1,4 @@
-//! Values that a configuration file writes as text: addresses, spans of time, sizes.
+//! Values that a configuration file writes as text: addresses, durations, sizes, log filters.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -7,27 +7,44 @@
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Serialize};
 
-/// The formats of text that the schema names, with an example of each and a check.
-pub(super) type Format = (&'static str, &'static str, fn(&str) -> bool);
-pub(super) const FORMATS: [Format; 4] = [
-    ("address", "127.0.0.1:8080", |text| text.parse::<SocketAddr>().is_ok()),
-    ("duration", "250ms", |text| duration(text).is_some()),
-    ("size", "64MiB", |text| text.parse::<bytesize::ByteSize>().is_ok()),
-    ("filter", "info,leadrelay::access=off", is_filter),
+/// Longest duration: a leap year.
+const MAX_DURATION: Duration = Duration::from_secs(366 * 24 * 3600);
+
+/// A format of text that the schema names.
+pub struct TextFormat {
+    pub name: &'static str,
+    pub example: &'static str,
+    pub is_valid: fn(&str) -> bool,
+}
+
+/// All formats that the schema names.
+pub const FORMATS: [TextFormat; 4] = [
+    TextFormat {
+        name: "address",
+        example: "127.0.0.1:8080",
+        is_valid: |text| text.parse::<SocketAddr>().is_ok(),
+    },
+    TextFormat { name: "duration", example: "250ms", is_valid: |text| parse_duration(text).is_some() },
+    TextFormat {
+        name: "size",
+        example: "64MiB",
+        is_valid: |text| text.parse::<bytesize::ByteSize>().is_ok(),
+    },
+    TextFormat { name: "filter", example: "info,leadrelay::access=off", is_valid: is_filter },
 ];
 
-/// Levels, or `target=level` pairs, parted by commas.
+/// Whether a text has levels, or `target=level` pairs, separated by commas.
 fn is_filter(text: &str) -> bool {
-    let level = |text: &str| text.trim().parse::<tracing::level_filters::LevelFilter>().is_ok();
+    let is_level = |text: &str| text.trim().parse::<tracing::level_filters::LevelFilter>().is_ok();
     text.split(',').all(|part| match part.split_once('=') {
-        Some((target, of)) => !target.trim().is_empty() && level(of),
-        None => level(part),
+        Some((target, level)) => !target.trim().is_empty() && is_level(level),
+        None => is_level(part),
     })
 }
 
-/// A span of time as people write it: `250ms`, `1s 500ms`, `2m`.
-fn duration(text: &str) -> Option<Duration> {
-    humantime::parse_duration(text).ok().filter(|d| *d <= Duration::from_secs(366 * 24 * 3600))
+/// A duration as people write it: `250ms`, `1s 500ms`, `2m`.
+fn parse_duration(text: &str) -> Option<Duration> {
+    humantime::parse_duration(text).ok().filter(|duration| *duration <= MAX_DURATION)
 }
 
 macro_rules! text_value {
@@ -77,10 +94,10 @@
     |address| address.to_string()
 );
 text_value!(
-    /// A span of time, a year at most.
+    /// A duration of a year at most.
     Span(Duration),
     "duration",
-    duration,
+    parse_duration,
     |span| humantime::format_duration(*span).to_string()
 );
 text_value!(
