--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -1,5 +1,5 @@
-//! The request classes on offer over reloads. Each is a name with its rules in a numbered place of the balancer, and a
-//! place keeps its rules for as long as a request holds it.
+//! The request classes on offer, over reloads. A class is a name with its rules; the balancer knows it by the index of its
+//! entry, and an entry keeps its rules for as long as a request holds it.
 
 use std::rc::Rc;
 
@@ -14,12 +14,12 @@
 /// one have theirs besides: a reload takes any file that a start takes, even if no class stays as it was.
 const MAX_HELD: usize = 1024;
 
-/// Open requests hold more classes of earlier configurations than there are places for.
+/// Open requests hold more classes of earlier configurations than there are entries for.
 #[derive(Debug, thiserror::Error)]
 #[error("open requests hold over {MAX_HELD} classes of earlier files")]
 pub struct TooManyHeldClasses;
 
-/// Held by each request of a class: the class's place is not reused meanwhile.
+/// Held by each request of a class: the class's entry is not reused meanwhile.
 #[derive(Clone, Default)]
 pub struct ClassLease(Rc<()>);
 
@@ -29,17 +29,17 @@
     }
 }
 
-/// A place of the balancer, with the class that has it.
-struct Place {
+/// An entry of the balancer, with the class that has it.
+struct ClassEntry {
     name: Rc<str>,
     rules: RequestClass,
     lease: ClassLease,
     is_offered: bool,
 }
 
-impl Place {
+impl ClassEntry {
     fn new(name: &str, rules: &RequestClass) -> Self {
-        Place { name: name.into(), rules: rules.clone(), lease: ClassLease::default(), is_offered: true }
+        ClassEntry { name: name.into(), rules: rules.clone(), lease: ClassLease::default(), is_offered: true }
     }
 
     /// Whether it has a class of this name with these rules.
@@ -61,9 +61,9 @@
     pub lease: ClassLease,
 }
 
-/// All places, the names of the tenants and the way requests are read.
+/// All entries, the names of the tenants and the way requests are read.
 pub struct Classes {
-    places: Vec<Place>,
+    entries: Vec<ClassEntry>,
     pub tenants: Vec<String>,
     pub dialect: Dialect,
 }
@@ -73,7 +73,7 @@
     pub fn new(names: &Names, rules: &[RequestClass], dialect: &Dialect) -> Self {
         let classes = names.classes.iter().zip(rules);
         Classes {
-            places: classes.map(|(name, rules)| Place::new(name, rules)).collect(),
+            entries: classes.map(|(name, rules)| ClassEntry::new(name, rules)).collect(),
             tenants: names.tenants.clone(),
             dialect: dialect.clone(),
         }
@@ -81,8 +81,8 @@
 
     /// The class of that name, if it is on offer.
     pub fn find(&self, name: &str) -> Option<ClassHandle> {
-        let index = self.places.iter().position(|place| place.is_offered && *place.name == *name)?;
-        let Place { name, rules, lease, .. } = &self.places[index];
+        let index = self.entries.iter().position(|entry| entry.is_offered && *entry.name == *name)?;
+        let ClassEntry { name, rules, lease, .. } = &self.entries[index];
         Some(ClassHandle {
             id: ClassId(index),
             name: name.clone(),
@@ -98,19 +98,19 @@
         self.find(&best.class)
     }
 
-    /// Names on offer, with the indices of their places.
+    /// Names on offer, with the indices of their entries.
     pub fn offered(&self) -> impl Iterator<Item = (&str, usize)> {
-        let places = self.places.iter().enumerate().filter(|(_, place)| place.is_offered);
-        places.map(|(index, place)| (&*place.name, index))
+        let entries = self.entries.iter().enumerate().filter(|(_, entry)| entry.is_offered);
+        entries.map(|(index, entry)| (&*entry.name, index))
     }
 
     /// The longest deadline of a class that is on offer or has open requests.
-    pub fn longest(&self) -> f64 {
-        let used = self.places.iter().filter(|place| !place.is_free());
-        used.map(|place| place.rules.deadline).fold(0.0, f64::max)
+    pub fn longest_deadline(&self) -> f64 {
+        let used = self.entries.iter().filter(|entry| !entry.is_free());
+        used.map(|entry| entry.rules.deadline).fold(0.0, f64::max)
     }
 
-    /// Offers the classes of these settings and no others; returns the settings with the places as classes.
+    /// Offers the classes of these settings and no others; returns the settings with the entries as classes.
     pub fn reconfigure(
         &mut self, names: &Names, mut settings: Settings, dialect: &Dialect,
     ) -> Result<Reconfiguration, TooManyHeldClasses> {
@@ -120,54 +120,54 @@
         let inherits_from = self.replace_classes(names, &settings.classes);
         self.tenants.clone_from(&names.tenants);
         self.dialect.clone_from(dialect);
-        settings.classes = self.places.iter().map(|place| place.rules.clone()).collect();
+        settings.classes = self.entries.iter().map(|entry| entry.rules.clone()).collect();
         Ok(Reconfiguration {
             settings,
             inherits_from,
-            offered: self.places.iter().map(|place| place.is_offered).collect(),
+            offered: self.entries.iter().map(|entry| entry.is_offered).collect(),
         })
     }
 
     fn has_room_for(&self, names: &Names, settings: &Settings) -> bool {
-        let is_kept = |place: &&Place| {
+        let is_kept = |entry: &&ClassEntry| {
             let mut classes = names.classes.iter().zip(&settings.classes);
-            classes.any(|(name, rules)| place.is_same(name, rules))
+            classes.any(|(name, rules)| entry.is_same(name, rules))
         };
-        let kept = self.places.iter().filter(is_kept).count().min(settings.classes.len());
+        let kept = self.entries.iter().filter(is_kept).count().min(settings.classes.len());
         let added = settings.classes.len() - kept;
-        let max_places = MAX_HELD + self.offered().count() + settings.classes.len();
-        let free = self.places.iter().filter(|place| place.is_free()).count();
-        self.places.len() + added <= max_places + free
+        let max_entries = MAX_HELD + self.offered().count() + settings.classes.len();
+        let free = self.entries.iter().filter(|entry| entry.is_free()).count();
+        self.entries.len() + added <= max_entries + free
     }
 
-    /// Offers these classes and no others. Returns, by place, the place before from which its class inherits what has
+    /// Offers these classes and no others. Returns, by entry, the entry before from which its class inherits what has
     /// been learned.
     fn replace_classes(&mut self, names: &Names, rules: &[RequestClass]) -> Vec<Option<usize>> {
-        let mut inherits_from: Vec<Option<usize>> = (0..self.places.len()).map(Some).collect();
+        let mut inherits_from: Vec<Option<usize>> = (0..self.entries.len()).map(Some).collect();
         let before: Vec<(Rc<str>, usize)> =
             self.offered().map(|(name, index)| (name.into(), index)).collect();
-        // A place that was on offer is not reused now, as another class may inherit from it.
+        // An entry that was on offer is not reused now, as another class may inherit from it.
         let inheritable: FxHashSet<usize> = before.iter().map(|(_, index)| *index).collect();
-        for place in &mut self.places {
-            place.is_offered = false;
+        for entry in &mut self.entries {
+            entry.is_offered = false;
         }
         for (name, rules) in names.classes.iter().zip(rules) {
             let unchanged =
-                self.places.iter_mut().find(|place| !place.is_offered && place.is_same(name, rules));
-            if let Some(place) = unchanged {
-                place.is_offered = true;
+                self.entries.iter_mut().find(|entry| !entry.is_offered && entry.is_same(name, rules));
+            if let Some(entry) = unchanged {
+                entry.is_offered = true;
                 continue;
             }
-            let place = Place::new(name, rules);
+            let entry = ClassEntry::new(name, rules);
             let inherited = before.iter().find(|(other, _)| **other == **name).map(|(_, index)| *index);
-            let mut indices = 0..self.places.len();
-            match indices.find(|index| self.places[*index].is_free() && !inheritable.contains(index)) {
+            let mut indices = 0..self.entries.len();
+            match indices.find(|index| self.entries[*index].is_free() && !inheritable.contains(index)) {
                 Some(index) => {
-                    self.places[index] = place;
+                    self.entries[index] = entry;
                     inherits_from[index] = inherited;
                 }
                 None => {
-                    self.places.push(place);
+                    self.entries.push(entry);
                     inherits_from.push(inherited);
                 }
             }
--- a/crates/proxy/src/classes/tests.rs
+++ b/crates/proxy/src/classes/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn place_keeps_its_rules_while_a_request_holds_it() {
+fn entry_keeps_its_rules_while_a_request_holds_it() {
     let (settings, names) = parsed(&[("a", 100.0), ("b", 200.0)]);
     let mut classes = Classes::new(&names, &settings.classes, &Dialect::Platform);
     let open = classes.find("a").expect("on offer");
@@ -27,18 +27,18 @@
     assert_eq!((b.id.0, a.rules.deadline, to.inherits_from[a.id.0]), (1, 300.0, Some(open.id.0)));
     assert!(a.id != open.id && to.settings.classes[open.id.0].deadline == 100.0);
     assert!(!to.offered[open.id.0] && to.offered[a.id.0]);
-    // Dropped, and its place stays for as long as it is held.
+    // Dropped, and its entry stays for as long as it is held.
     let to = reconfigured(&mut classes, &[("c", 1.0)]);
     assert!(classes.find("a").is_none() && classes.find("b").is_none());
     assert_eq!(to.settings.classes[open.id.0].deadline, 100.0);
-    assert_eq!(classes.longest(), 300.0, "of what is held");
+    assert_eq!(classes.longest_deadline(), 300.0, "of what is held");
     drop((open, a, b));
-    assert_eq!(classes.longest(), 1.0);
-    // Many files later there are no more places than are needed at once.
+    assert_eq!(classes.longest_deadline(), 1.0);
+    // Many files later there are no more entries than are needed at once.
     for n in 0..1000 {
         reconfigured(&mut classes, &[("a", f64::from(n) + 1.0), ("b", 5.0)]);
     }
-    assert!(classes.places.len() < 12, "{}", classes.places.len());
+    assert!(classes.entries.len() < 12, "{}", classes.entries.len());
 }
 
 #[test]
@@ -52,7 +52,7 @@
         assert_eq!(classes.find("c1023").expect("on offer").rules.deadline, deadline);
         assert!(classes.find("a").is_none() && classes.offered().count() == 1024);
     }
-    assert!(classes.places.len() <= 2049, "{}", classes.places.len());
+    assert!(classes.entries.len() <= 2049, "{}", classes.entries.len());
 }
 
 #[test]
--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -23,7 +23,7 @@
 impl From<File> for Config {
     fn from(mut file: File) -> Config {
         if file.classes.is_empty() {
-            file.classes = defaults::classes();
+            file.classes = default_classes();
         }
         let mut names = Names {
             classes: file.classes.iter().map(|class| class.name.clone()).collect(),
@@ -68,6 +68,27 @@
     }
 }
 
+/// The classes where a file names none.
+fn default_classes() -> Vec<Class> {
+    let read_methods = defaults::READ_METHODS.map(str::to_owned).to_vec();
+    vec![default_class("read", read_methods, Effect::Safe), default_class("write", Vec::new(), Effect::Once)]
+}
+
+fn default_class(name: &str, methods: Vec<String>, effect: Effect) -> Class {
+    Class {
+        name: name.into(),
+        path: defaults::path(),
+        methods,
+        effect,
+        deadline: defaults::DEADLINE,
+        aim: Some(defaults::LATENCY_OBJECTIVE),
+        worth: defaults::one(),
+        late_worth: defaults::late_worth(),
+        scope: Scope::All,
+        window: None,
+    }
+}
+
 /// A seed that differs between two proxies that are started together.
 fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
--- a/crates/proxy/src/config/file/schema.rs
+++ b/crates/proxy/src/config/file/schema.rs
@@ -8,8 +8,8 @@
 use serde_json::Value;
 
 use super::defaults;
-use crate::config::Format;
-use crate::config::values::{Address, Size, Span};
+use crate::config::values::{Address, FilterText, Size, Span};
+use crate::config::{self, Format};
 
 /// Configuration of leadrelay. One listener and one backend make a working proxy; every other key has a default.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
@@ -241,21 +241,28 @@
     pub access: f64,
 }
 
-#[derive(Clone, Debug, Deserialize, Serialize)]
-#[serde(transparent)]
-pub struct FilterText(pub String);
+impl Default for Limits {
+    fn default() -> Self {
+        Limits { descriptors: 1024, memory: defaults::MEMORY, attempts: 3 }
+    }
+}
 
-impl JsonSchema for FilterText {
-    fn inline_schema() -> bool {
-        true
+impl Default for Timeouts {
+    fn default() -> Self {
+        Timeouts { connect: Span::from_secs(1), idle: Span::from_secs(15) }
     }
+}
 
-    fn schema_name() -> std::borrow::Cow<'static, str> {
-        "FilterText".into()
+impl Default for SlowStart {
+    fn default() -> Self {
+        SlowStart { capacity: 0.2, span: Span::from_secs(30), multiple: 3.0, fall: Span::from_secs(1) }
     }
+}
 
-    fn json_schema(_: &mut schemars::SchemaGenerator) -> schemars::Schema {
-        schemars::json_schema!({ "type": "string", "format": "filter" })
+impl Default for Logging {
+    fn default() -> Self {
+        let config::Logging { filter, format, access } = config::Logging::default();
+        Logging { filter: FilterText(filter), format, access }
     }
 }
 
--- a/crates/proxy/src/config/values.rs
+++ b/crates/proxy/src/config/values.rs
@@ -109,8 +109,32 @@
 );
 
 impl Span {
+    /// A duration of so many seconds.
+    pub const fn from_secs(seconds: u64) -> Self {
+        Span(Duration::from_secs(seconds))
+    }
+
     /// In milliseconds.
     pub fn ms(self) -> f64 {
         self.0.as_secs_f64() * 1000.0
     }
 }
+
+/// Levels by log target, as text.
+#[derive(Clone, Debug, Deserialize, Serialize)]
+#[serde(transparent)]
+pub struct FilterText(pub String);
+
+impl JsonSchema for FilterText {
+    fn inline_schema() -> bool {
+        true
+    }
+
+    fn schema_name() -> Cow<'static, str> {
+        "FilterText".into()
+    }
+
+    fn json_schema(_: &mut SchemaGenerator) -> Schema {
+        json_schema!({ "type": "string", "format": "filter" })
+    }
+}
--- a/crates/proxy/src/frontend/shutdown.rs
+++ b/crates/proxy/src/frontend/shutdown.rs
@@ -33,7 +33,8 @@
     /// Finishes the requests that have been accepted, and those that still arrive if there is no successor.
     pub(super) async fn shut_down(self: &Rc<Self>, listener: TcpListener) {
         self.stopping.set(true);
-        let longest = Duration::from_secs_f64(self.classes.borrow().longest().clamp(0.0, 1e9) / 1000.0);
+        let longest =
+            Duration::from_secs_f64(self.classes.borrow().longest_deadline().clamp(0.0, 1e9) / 1000.0);
         let end = Instant::now() + longest.min(MAX_DEADLINE) + KILL_TIME - ANSWER_MARGIN;
         self.inbox.put(Input::ShutdownDeadline(end));
         if self.budget.handover.as_ref().is_some_and(|handover| handover.announce_stop()) {
--- a/crates/proxy/src/handover/schema.rs
+++ b/crates/proxy/src/handover/schema.rs
@@ -108,7 +108,7 @@
 
 /// What conversions need to know of this process.
 pub struct ConversionContext<'a> {
-    /// Names of the request classes on offer, with their places in the balancer.
+    /// Names of the request classes on offer, with their indices in the balancer.
     pub classes: Vec<(&'a str, usize)>,
     pub machine_classes: &'a [String],
     /// The balancer's time.
@@ -127,8 +127,8 @@
 impl LearnedRecord {
     /// The record of what the balancer has learned.
     pub fn from_learned(learned: LearnedState, context: &ConversionContext) -> Self {
-        let classes = context.classes.iter().filter_map(|(name, place)| {
-            let mean = learned.classes.get(*place)?;
+        let classes = context.classes.iter().filter_map(|(name, index)| {
+            let mean = learned.classes.get(*index)?;
             Some(((*name).to_owned(), MeanRecord::from(*mean)))
         });
         let machine_classes = context.machine_class_names().zip(&learned.machine_classes);
