--- a/crates/proxy/src/config/platform/tests.rs
+++ b/crates/proxy/src/config/platform/tests.rs
@@ -10,7 +10,7 @@
     "nInstances":1,"myNumber":0,"ceilings":{"mayTell":true,"dialTimeout":120,"idleClose":30000}}}"#;
 
 #[test]
-fn a_good_file_is_read_whole() {
+fn good_file_is_read_completely() {
     let config = parse(GOOD).expect("good");
     assert_eq!((config.seed, config.max_sockets), (0x8c1f, 512));
     assert_eq!(config.connections, Connections { dial_timeout: 120.0, idle_close: 30_000.0 });
@@ -19,12 +19,12 @@
 }
 
 #[test]
-fn peers_are_left_alone_where_the_settings_forbid_them() {
+fn peers_are_ignored_where_the_settings_disable_gossip() {
     assert!(parse(&GOOD.replace("\"mayTell\":true", "\"mayTell\":false")).expect("good").peers.is_none());
 }
 
 #[test]
-fn a_process_that_runs_takes_nothing_from_a_broken_file() {
+fn running_process_takes_nothing_from_a_malformed_file() {
     let good = GOOD
         .replace("\"deadline\":900", "\"deadline\":900,\"promise\":500,\"worth\":1.0")
         .replace("\"mayTell\":true", "\"mayTell\":true,\"maxAttempts\":3");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn fault_names_what_is_wrong() {
     for (from, to, word) in [
         ("127.0.0.1:9000", "nowhere", "socket address"),
         ("\"seed\":\"8c1f\",", "", "seed"),
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -102,9 +102,9 @@
 
 #[test]
 fn malformed_toml_is_reported_with_its_place() {
-    let told = faults("listen = \"a\n[x");
-    assert_eq!(told.len(), 2, "{told:?}");
-    assert!(told[0].starts_with("f:1:") && told[1].starts_with("f:2:"), "{told:?}");
+    let reported = faults("listen = \"a\n[x");
+    assert_eq!(reported.len(), 2, "{reported:?}");
+    assert!(reported[0].starts_with("f:1:") && reported[1].starts_with("f:2:"), "{reported:?}");
     assert_eq!(faults("{"), ["f:1:1: EOF while parsing an object at line 1 column 1"], "the operators' JSON");
 }
 
@@ -114,7 +114,7 @@
         {"name":"a","effect":"idempotent","deadline":0,"promise":1,"worth":1},
         {"name":"a","effect":"often","deadline":1,"promise":1,"worth":"much"}],"ceilings":{}}}"#;
     let faults = platform::check(text).expect_err("five faults");
-    let told: Vec<&str> = faults.iter().map(|f| f.message.as_str()).collect();
+    let reported: Vec<&str> = faults.iter().map(|f| f.message.as_str()).collect();
     let expected = [
         "class 'a': deadline is no positive number",
         "class 'a' stands twice",
@@ -122,7 +122,7 @@
         "class 'a': effect 'often' is none of idempotent, deduplicated, at_most_once",
         "ceilings.maxAttempts is no positive number",
     ];
-    assert_eq!(told, expected);
+    assert_eq!(reported, expected);
 }
 
 #[test]
--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -44,7 +44,7 @@
     pub fn follow_wall_clock(&mut self) {
         let before = Instant::now();
         let unix = unix_now();
-        // A delay between the two readings can't be told apart from a step; the next call tries again.
+        // A delay between the two readings can't be distinguished from a step; the next call tries again.
         if before.elapsed() < MIN_STEP {
             self.record_offset(unix - self.at(before));
         }
--- a/crates/proxy/src/driver/endpoints.rs
+++ b/crates/proxy/src/driver/endpoints.rs
@@ -11,7 +11,7 @@
 use crate::listed_endpoint::{Health, ListedEndpoint};
 use crate::upstream::{Upstream, Upstreams};
 
-/// Zones and machine classes that are told apart: bounds memory over the years, as discovery may name ever new ones.
+/// Zones, and machine classes, that are distinguished: bounds memory, as discovery may name ever new ones.
 const MAX_NAMES: usize = 4096;
 /// Endpoints whose ids are remembered after they have left the list.
 const MAX_REMEMBERED: usize = 10_000;
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -2,6 +2,9 @@
 
 use std::io;
 
+use tokio::sync::oneshot::error::RecvError;
+use tokio::task::JoinError;
+
 use crate::config::Faults;
 use crate::passed_socket::PassedSocketError;
 
@@ -24,7 +27,24 @@
     },
     /// The driver has ended while the proxy ran.
     #[error("the driver has ended: {0}")]
-    Driver(String),
+    Driver(#[from] DriverEnd),
+}
+
+/// How the driver has ended.
+#[derive(Debug, thiserror::Error)]
+pub enum DriverEnd {
+    /// Its task ended while the proxy ran.
+    #[error("{0:?}")]
+    Task(Result<(), JoinError>),
+    /// The work before its start ended without a result.
+    #[error("{0}")]
+    Preparation(#[from] RecvError),
+    /// Its thread ended before the proxy listened.
+    #[error("at its start")]
+    Start,
+    /// Its thread panicked.
+    #[error("a panic")]
+    Panic,
 }
 
 impl Error {
--- a/crates/proxy/src/handover/file.rs
+++ b/crates/proxy/src/handover/file.rs
@@ -1,4 +1,4 @@
-//! The handover file on disk: it is read and replaced as a whole.
+//! The handover file on disk, which is read and replaced as a whole.
 
 use std::cell::RefCell;
 use std::io;
@@ -23,10 +23,10 @@
     modified_ns: i64,
 }
 
-/// The file, and what it said last.
+/// The file, and the last state that was read from it or written to it.
 pub struct HandoverFile {
     path: PathBuf,
-    /// What the file said when it was last read or written. Stands in for a file that is missing or broken.
+    /// The state that was last read or written. Used in place of a file that is missing or malformed.
     last_state: RefCell<Option<SharedState>>,
 }
 
@@ -41,7 +41,7 @@
         &self.path
     }
 
-    /// What the file says; `None` if it is missing or can't be used. An I/O error tells nothing about its contents.
+    /// The state in the file; `None` if it is missing or can't be used. An I/O error says nothing about its contents.
     pub fn read(&self) -> io::Result<Option<SharedState>> {
         let text = match std::fs::read(&self.path) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
@@ -68,7 +68,7 @@
         })
     }
 
-    /// What the file says, or said last if it is missing or can't be used now.
+    /// The state in the file, or the last one known if the file is missing or can't be used now.
     pub fn read_or_last(&self) -> io::Result<SharedState> {
         let state = self.read()?.or_else(|| self.last_state.borrow().clone());
         Ok(state.unwrap_or_default())
@@ -81,7 +81,7 @@
         std::fs::rename(&temporary, &self.path)
     }
 
-    /// Sets what stands in for a file that is missing or broken.
+    /// Sets the state that is used in place of a file that is missing or malformed.
     pub fn set_last_state(&self, state: SharedState) {
         self.last_state.replace(Some(state));
     }
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -157,7 +157,7 @@
         self.is_owner.set(latest.is_some_and(is_own));
     }
 
-    /// What the file says, if another process has replaced it since the last call.
+    /// The state in the file, if another process has replaced it since the last call.
     pub fn read_if_replaced(&self) -> Option<SharedState> {
         let revision = self.file.revision();
         if revision == self.seen_revision.get() {
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -16,7 +16,7 @@
 use crate::open_ids::OpenId;
 use crate::upstream::{Outgoing, Reply};
 
-/// What the driver is told by the other parts.
+/// What the other parts report to the driver.
 pub enum Input {
     /// A request can be dispatched.
     Request(Box<Arrival>),
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -28,7 +28,7 @@
 mod upstream;
 
 pub use cause::Cause;
-pub use error::Error;
+pub use error::{DriverEnd, Error};
 pub use listed_endpoint::ListedEndpoint;
 pub use metrics::{Metrics, RequestTicket};
 pub use passed_socket::PassedSocketError;
--- a/crates/proxy/src/metrics/attempts.rs
+++ b/crates/proxy/src/metrics/attempts.rs
@@ -5,7 +5,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-use super::labels::{ByOutcome, register_by_reason, register_by_word, time_histogram};
+use super::labels::{ByOutcome, register_by_label, register_by_reason, time_histogram};
 use crate::upstream::Denial;
 
 /// Metrics of attempts.
@@ -23,7 +23,7 @@
     pub fn register(registry: &mut Registry) -> Self {
         let names = Outcome::ALL.map(Outcome::name);
         let help = "Attempts at backends that have ended, by outcome";
-        let outcomes = register_by_word::<ByOutcome, Counter, _>(registry, "attempts", help, names);
+        let outcomes = register_by_label::<ByOutcome, Counter, _>(registry, "attempts", help, names);
         let seconds = time_histogram();
         let help = "Time from the send of an attempt to the first byte of its answer, served ones only";
         registry.register_with_unit("attempt", help, Unit::Seconds, seconds.clone());
--- a/crates/proxy/src/metrics/connections.rs
+++ b/crates/proxy/src/metrics/connections.rs
@@ -6,7 +6,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use super::labels::{BySide, register_by_reason, register_by_word};
+use super::labels::{BySide, register_by_label, register_by_reason};
 use crate::close_reason::{BackendClose, ClientClose};
 
 /// Metrics of connections.
@@ -25,7 +25,7 @@
         let opened = Counter::default();
         registry.register("backend_dials", "Connections opened to backends", opened.clone());
         let sides = ["clients", "backends"];
-        let [clients, upstreams] = register_by_word::<BySide, Gauge<i64, AtomicI64>, _>(
+        let [clients, upstreams] = register_by_label::<BySide, Gauge<i64, AtomicI64>, _>(
             registry,
             "connections",
             "Open connections",
--- a/crates/proxy/src/metrics/dispatch.rs
+++ b/crates/proxy/src/metrics/dispatch.rs
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use super::labels::{ByChoice, register_by_word};
+use super::labels::{ByChoice, register_by_label};
 
 /// Metrics of the queue and of decisions.
 pub struct DispatchMetrics {
@@ -22,7 +22,7 @@
     pub fn register(registry: &mut Registry) -> Self {
         let names = Decision::ALL.map(Decision::name);
         let help = "What the two-speed threshold decided at each look at a waiting request";
-        let decisions = register_by_word::<ByChoice, Counter, _>(registry, "choices", help, names);
+        let decisions = register_by_label::<ByChoice, Counter, _>(registry, "choices", help, names);
         let waiting = Gauge::default();
         registry.register("requests_waiting", "Requests in the proxy's own queue", waiting.clone());
         let running = Gauge::default();
--- a/crates/proxy/src/metrics/invariants.rs
+++ b/crates/proxy/src/metrics/invariants.rs
@@ -7,7 +7,7 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-use super::labels::{ByInvariant, Word};
+use super::labels::{ByInvariant, StaticLabel};
 
 /// Violations, by the layer that saw them.
 pub struct InvariantMetrics {
@@ -25,7 +25,8 @@
         registry.register("invariant_violations", help, violations.clone());
         let in_layer = |layer: &'static str| {
             Invariant::ALL.map(|invariant| {
-                let labels = ByInvariant { invariant: Word(invariant.name()), layer: Word(layer) };
+                let labels =
+                    ByInvariant { invariant: StaticLabel(invariant.name()), layer: StaticLabel(layer) };
                 violations.get_or_create_owned(&labels)
             })
         };
--- a/crates/proxy/src/metrics/requests.rs
+++ b/crates/proxy/src/metrics/requests.rs
@@ -11,7 +11,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-use super::labels::{ByCause, ByClass, Word, register_by_reason, time_histogram};
+use super::labels::{ByCause, ByClass, StaticLabel, register_by_reason, time_histogram};
 use crate::cause::Cause;
 
 /// Metrics of one class.
@@ -71,7 +71,7 @@
             return class.clone();
         }
         let ended = Cause::ALL.map(|cause| {
-            let labels = ByCause { class: name.to_owned(), cause: Word(cause.name()) };
+            let labels = ByCause { class: name.to_owned(), cause: StaticLabel(cause.name()) };
             self.by_cause.get_or_create_owned(&labels)
         });
         let seconds = self.seconds.get_or_create_owned(&ByClass { class: name.to_owned() });
--- a/crates/proxy/src/server/background.rs
+++ b/crates/proxy/src/server/background.rs
@@ -8,7 +8,7 @@
 use super::run::{self, Addresses};
 use super::runtime;
 use crate::config::Config;
-use crate::error::Error;
+use crate::error::{DriverEnd, Error};
 use crate::metrics::Metrics;
 
 /// A proxy that runs in a thread of this process.
@@ -41,12 +41,12 @@
     let thread = thread.map_err(Error::system("a thread for the proxy"))?;
     match addresses.recv() {
         Ok(addresses) => Ok(Running { addresses, metrics, stop, thread }),
-        Err(_) => Err(join(thread).err().unwrap_or_else(|| Error::Driver("at its start".into()))),
+        Err(_) => Err(join(thread).err().unwrap_or_else(|| DriverEnd::Start.into())),
     }
 }
 
 fn join(thread: JoinHandle<Result<(), Error>>) -> Result<(), Error> {
-    thread.join().unwrap_or_else(|_| Err(Error::Driver("a panic".into())))
+    thread.join().unwrap_or_else(|_| Err(DriverEnd::Panic.into()))
 }
 
 impl Running {
--- a/crates/proxy/src/server/process.rs
+++ b/crates/proxy/src/server/process.rs
@@ -10,7 +10,7 @@
 use super::run::{self, ReloadSource};
 use super::runtime;
 use crate::config::Config;
-use crate::error::Error;
+use crate::error::{DriverEnd, Error};
 
 /// A process that handles its signals. Until it is created they end the process, so it is created before all else.
 pub struct Process {
@@ -36,7 +36,7 @@
         Ok(Process { runtime, terminate, interrupt, hangup })
     }
 
-    /// Does work that may take long before the proxy runs; `None` if the process is told to end meanwhile.
+    /// Does work that may take long before the proxy runs; `None` if the process is signalled to end meanwhile.
     ///
     /// # Errors
     /// If there is no thread for it, or it panics.
@@ -44,7 +44,7 @@
         &mut self, work: impl FnOnce() -> T + Send + 'static,
     ) -> Result<Option<T>, Error> {
         let (done, result) = oneshot::channel();
-        let work = move || drop(done.send(work())); // fails if the process is told to end meanwhile
+        let work = move || drop(done.send(work())); // fails if the process is signalled to end meanwhile
         let thread = std::thread::Builder::new().name("start".into()).spawn(work);
         thread.map_err(Error::system("a thread for the start"))?;
         let terminate = &mut self.terminate;
@@ -54,7 +54,10 @@
                 biased;
                 _ = terminate.recv() => Ok(None),
                 _ = interrupt.recv() => Ok(None),
-                result = result => result.map(Some).map_err(|error| Error::Driver(error.to_string())),
+                result = result => match result {
+                    Ok(result) => Ok(Some(result)),
+                    Err(error) => Err(DriverEnd::Preparation(error).into()),
+                },
             }
         })
     }
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -20,7 +20,7 @@
 use crate::config::{Config, Dialect, Source};
 use crate::discovery::{self, Calls};
 use crate::driver::{Driver, Parts};
-use crate::error::Error;
+use crate::error::{DriverEnd, Error};
 use crate::frontend::{Budget, Frontend};
 use crate::handover::{Handover, SharedState};
 use crate::inbox::{Inbox, Input};
@@ -145,7 +145,7 @@
     // Without its driver a proxy could only fail every request: it is better ended and started anew.
     tokio::select! {
         () = frontend.serve(listener, stop) => Ok(()),
-        end = driver => Err(Error::Driver(format!("{end:?}"))),
+        end = driver => Err(DriverEnd::Task(end).into()),
     }
 }
 
