--- a/crates/proxy/src/driver/attempts.rs
+++ b/crates/proxy/src/driver/attempts.rs
@@ -12,7 +12,7 @@
 use super::attempt_report::AttemptReport;
 use super::open_requests::OpenRequest;
 use crate::inbox::{Answer, AttemptEnd};
-use crate::upstream::{AttemptLimits, RequestState};
+use crate::upstream::{AttemptLimits, RequestState, Upstream, Upstreams};
 
 /// Longest time-out of an attempt: it must be possible to add it to any instant.
 const MAX_TIMEOUT: Millis = 1e9;
@@ -39,22 +39,12 @@
             reported: false,
         };
         open.attempts += 1;
+        open.attempts_in_flight += 1;
+        self.stats.attempts += 1;
         if let Some(previous_outcome) = open.last_outcome {
             self.parts.metrics.attempt_retried(previous_outcome);
         }
-        let endpoint_name = self.endpoints.name(endpoint);
-        debug!(
-            request = open.message.request_id(),
-            attempt = report.attempt,
-            backend = endpoint_name,
-            previous_outcome = open.last_outcome.map(Outcome::name),
-            "attempt started"
-        );
-        if let Some(access_record) = &open.access_record {
-            access_record.sent(endpoint, endpoint_name);
-        }
-        open.attempts_in_flight += 1;
-        self.stats.attempts += 1;
+        record_start(open, report.attempt, endpoint, self.endpoints.name(endpoint));
         let upstream = self.endpoints.upstream(endpoint).filter(|upstream| upstream.is_open());
         let Some(upstream) = upstream.filter(|_| open.state.get() == RequestState::Pending) else {
             return report.send(Outcome::Withdrawn, None);
@@ -63,14 +53,7 @@
             deadline: attempt_deadline(open, timeout, now),
             begin_by: start_by.map(|at| self.clock.instant(at)),
         };
-        let upstream = upstream.clone();
-        let upstreams = self.parts.upstreams.clone();
-        let state = open.state.clone();
-        let message = open.message.clone();
-        tokio::task::spawn_local(async move {
-            let report = |outcome, reply| report.send(outcome, reply);
-            upstreams.attempt(upstream, state, message, limits, report).await;
-        });
+        spawn_attempt(self.parts.upstreams.clone(), upstream.clone(), open, limits, report);
     }
 
     /// An attempt has ended; a served one answers its request.
@@ -108,6 +91,33 @@
     }
 }
 
+/// Records the start of an attempt in the log and for the access event.
+fn record_start(open: &OpenRequest, attempt: u32, endpoint: EndpointId, endpoint_name: Option<&str>) {
+    debug!(
+        request = open.message.request_id(),
+        attempt,
+        backend = endpoint_name,
+        previous_outcome = open.last_outcome.map(Outcome::name),
+        "attempt started"
+    );
+    if let Some(access_record) = &open.access_record {
+        access_record.sent(endpoint, endpoint_name);
+    }
+}
+
+/// Runs an attempt in a task of its own.
+fn spawn_attempt(
+    upstreams: Rc<Upstreams>, upstream: Rc<Upstream>, open: &OpenRequest, limits: AttemptLimits,
+    mut report: AttemptReport,
+) {
+    let state = open.state.clone();
+    let message = open.message.clone();
+    tokio::task::spawn_local(async move {
+        let report = |outcome, reply| report.send(outcome, reply);
+        upstreams.attempt(upstream, state, message, limits, report).await;
+    });
+}
+
 /// When an attempt must have ended: by its own time-out or its request's deadline.
 fn attempt_deadline(open: &OpenRequest, timeout: Option<Millis>, now: Instant) -> Instant {
     match timeout {
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -76,7 +76,7 @@
         if let Err(error) = handover.update(|_| {})
             && !error.is_locked()
         {
-            warn!(folder = %folder.display(), %error, "handover file not written yet");
+            warn!(folder = %folder.display(), %error, "first write of the handover file failed");
         }
         (handover, predecessor)
     }
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -104,11 +104,7 @@
         metrics.show_class(class);
     }
     let shared = Shared::new(&config, inbox, metrics);
-    let discovery = match &config.source {
-        Source::Discovery(address) => Some(watch::channel(*address)),
-        Source::Fixed(_) => None,
-    };
-    let (address_sender, discovery_address) = discovery.unzip();
+    let (address_sender, discovery_address) = discovery_channel(&config.source).unzip();
     if let Some(reload) = reload {
         shared.spawn_reload(reload, config.clone(), address_sender);
     }
@@ -149,6 +145,14 @@
     }
 }
 
+/// The channel of discovery's address, which a reload may change.
+fn discovery_channel(source: &Source) -> Option<(watch::Sender<SocketAddr>, watch::Receiver<SocketAddr>)> {
+    match source {
+        Source::Discovery(address) => Some(watch::channel(*address)),
+        Source::Fixed(_) => None,
+    }
+}
+
 fn start_admin(
     listener: Option<std::net::TcpListener>, commands: mpsc::UnboundedSender<CommandRequest>,
     metrics: &Arc<Metrics>,
