--- a/crates/proxy/src/frontend/body.rs
+++ b/crates/proxy/src/frontend/body.rs
@@ -61,8 +61,10 @@
         Upload {
             stream: RefCell::new(Some(stream)),
             response_deadline: Instant::now() + response_timeout,
-            on_start: Box::new(move |timeout| on_start_inbox.put(Input::UploadBegun(id, timeout))),
-            on_complete: Rc::new(move || on_complete_inbox.put(Input::Uploaded(id))),
+            on_start: Box::new(move |client_timeout| {
+                on_start_inbox.put(Input::UploadStarted { request: id, client_timeout });
+            }),
+            on_complete: Rc::new(move || on_complete_inbox.put(Input::UploadComplete(id))),
         }
     }
 
--- a/crates/proxy/src/frontend/cancellation.rs
+++ b/crates/proxy/src/frontend/cancellation.rs
@@ -33,7 +33,7 @@
         if !self.armed {
             return;
         }
-        self.frontend.inbox.put(Input::Gone(self.id));
+        self.frontend.inbox.put(Input::ClientDisconnected(self.id));
         if !self.client.has_disconnected() {
             self.frontend.metrics.violated(Invariant::AnsweredBeforeClose, &self.request);
         }
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -111,16 +111,16 @@
         self.inbox.put(Input::Request(Box::new(Arrival {
             id,
             class: meta.class.id,
-            hold: meta.class.hold,
+            class_lease: meta.class.lease,
             tenant: meta.tenant,
             key: meta.affinity_key,
-            hint: meta.expected_cost,
+            expected_cost: meta.expected_cost,
             deadline: arrived_at + meta.timeout,
-            upload: streamed.then_some(meta.timeout),
+            upload_timeout: streamed.then_some(meta.timeout),
             message,
             answer: answer_sender,
             access_record,
-            open: open_id,
+            open_id,
         })));
         Ok(SubmittedRequest { answer, ticket })
     }
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -27,13 +27,17 @@
         match answer {
             Answer::Served(response) => self.served(response, ticket, client),
             // No other backend could take over: the client sees what this one said.
-            Answer::Passed(response) => {
+            Answer::UpstreamError(response) => {
                 ticket.end(Cause::BackendError);
                 client_response(response)
             }
-            Answer::Refused { after, tried } => {
-                ticket.end(if tried { Cause::RejectedAfterAttempt } else { Cause::RejectedBeforeAttempt });
-                self.unavailable(after)
+            Answer::Rejected { retry_after, attempted } => {
+                ticket.end(if attempted {
+                    Cause::RejectedAfterAttempt
+                } else {
+                    Cause::RejectedBeforeAttempt
+                });
+                self.unavailable(retry_after)
             }
             Answer::Failed => {
                 ticket.end(Cause::Failed);
--- a/crates/proxy/src/frontend/shutdown.rs
+++ b/crates/proxy/src/frontend/shutdown.rs
@@ -36,11 +36,11 @@
     pub(super) async fn shut_down(self: &Rc<Self>, listener: TcpListener) {
         self.stopping.set(true);
         let response_deadline = self.shutdown_response_deadline();
-        self.inbox.put(Input::Ending(response_deadline));
+        self.inbox.put(Input::ShutdownDeadline(response_deadline));
         if self.hand_over() {
             self.leave_to_successor(listener).await;
         } else {
-            self.inbox.put(Input::Leaving);
+            self.inbox.put(Input::ShutdownStarted);
             self.accept_last(listener).await;
         }
         self.finish_requests(response_deadline + WRITE_TIME).await;
@@ -48,14 +48,14 @@
 
     /// By when all requests must have their response.
     fn shutdown_response_deadline(&self) -> Instant {
-        let longest_ms = self.classes.borrow().longest().clamp(0.0, MAX_CONFIGURED_DEADLINE_MS);
+        let longest_ms = self.classes.borrow().longest_deadline().clamp(0.0, MAX_CONFIGURED_DEADLINE_MS);
         let longest = Duration::from_secs_f64(longest_ms / 1000.0);
         Instant::now() + longest.min(MAX_DEADLINE) + KILL_TIME - RESPONSE_MARGIN
     }
 
     /// Leaves the clients to a successor; returns whether there is one.
     fn hand_over(&self) -> bool {
-        self.limits.handover.as_ref().is_some_and(|handover| handover.leave())
+        self.limits.handover.as_ref().is_some_and(|handover| handover.announce_stop())
     }
 
     /// The successor accepts new connections. Those open here close with their next response, if one comes soon: closed
--- a/crates/proxy/src/frontend/socket_limits.rs
+++ b/crates/proxy/src/frontend/socket_limits.rs
@@ -23,7 +23,7 @@
 impl SocketLimits {
     /// The sockets that this process may use at present.
     pub(super) fn current(&self) -> usize {
-        let overlaps = self.handover.as_ref().is_some_and(|handover| handover.twin());
+        let overlaps = self.handover.as_ref().is_some_and(|handover| handover.has_overlap());
         if overlaps { self.overlapping } else { self.alone }
     }
 
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -51,7 +51,7 @@
     address: SocketAddr, permit: OwnedSemaphorePermit, metrics: Arc<Metrics>,
 ) -> Result<Connection, ConnectError> {
     let permit = Rc::new(permit);
-    metrics.dials.inc();
+    metrics.upstream_connected();
     let stream = Rc::new(TcpStream::connect(address).await?);
     stream.set_nodelay(true)?;
     let progress = Rc::new(RequestProgress::new(metrics));
--- a/crates/proxy/src/upstream/request_progress.rs
+++ b/crates/proxy/src/upstream/request_progress.rs
@@ -135,7 +135,7 @@
         let was_complete = self.is_complete();
         self.framing.advance(bytes);
         if let Some(metrics) = self.metrics.as_ref().filter(|_| !was_complete && self.is_complete()) {
-            metrics.upstream_requests.inc();
+            metrics.attempt_written();
         }
     }
 
