--- a/crates/cli/tests/bodies.rs
+++ b/crates/cli/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of all forms and sizes, in both directions.
+//! Bodies of all framings and sizes, in both directions.
 mod sockets;
 
 use std::io::{BufReader, Write};
@@ -6,123 +6,126 @@
 
 use sockets::*;
 
-const BIG: usize = 200_000;
+const LONG_BODY: usize = 200_000;
 
-fn proxy_with(backends: &[&Backend], setup: Setup) -> (Discovery, Proxy) {
+fn proxy_with_setup(backends: &[&Backend], setup: Setup) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
-    discovery.say(&all_up(backends));
-    let proxy = Proxy::up(&discovery, &Setup { admin: true, ..setup });
+    discovery.publish(&all_up(backends));
+    let proxy = Proxy::start_ready(&discovery, &Setup { has_admin: true, ..setup });
     (discovery, proxy)
 }
 
-/// A backend that writes the first half of a big answer, and the second once a gate opens.
+/// A backend that writes the first half of a long response, and the second once a gate opens.
 fn in_halves(gate: &Gate) -> Backend {
-    let answer = ok(&"x".repeat(BIG));
-    let (first, rest) = answer.split_at(answer.len() - BIG / 2);
-    Backend::new(Deed::Parts(first.into(), gate.clone(), rest.into()))
+    let answer = ok(&"x".repeat(LONG_BODY));
+    let (first, rest) = answer.split_at(answer.len() - LONG_BODY / 2);
+    Backend::new(Reply::InParts(first.into(), gate.clone(), rest.into()))
 }
 
 #[test]
-fn a_chunked_request_is_passed_on_whole() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let (_discovery, proxy) = proxy_with(&[&backend], Setup::default());
+fn chunked_request_is_forwarded_complete() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let (_discovery, proxy) = proxy_with_setup(&[&backend], Setup::default());
     let chunks = "Transfer-Encoding: chunked\r\n\r\n4;x=1\r\nbody\r\n2\r\n's\r\n0\r\nX-Trailer: y\r\n\r\n";
     let request = submit("r-1", "5", "").replace("Content-Length: 0\r\n\r\n", chunks);
-    let mut client = Client::new(&proxy);
-    assert_eq!(client.ask(&request).expect("an answer").status(), 200);
-    assert_eq!(backend.seen()[0].text(), "body's");
-    assert_eq!(client.ask(&page("r-2")).expect("the connection stays").status(), 200);
+    let mut client = proxy.client();
+    assert_eq!(client.request(&request).expect("a response").status(), 200);
+    assert_eq!(backend.requests()[0].text(), "body's");
+    assert_eq!(client.request(&page("r-2")).expect("the connection stays").status(), 200);
 }
 
 #[test]
-fn answers_of_all_forms_are_passed_on() {
+fn responses_of_all_framings_are_forwarded() {
     let forms = [
         "HTTP/1.1 200 OK\r\n\r\nits end ends it",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nits\r\nC\r\n end ends it\r\n0\r\nX-T: y\r\n\r\n",
         "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length:15\r\n\r\nits end ends it",
     ];
     for form in forms {
-        let backend = Backend::new(Deed::WriteAndClose(form.into()));
-        let (_discovery, proxy) = proxy_with(&[&backend], Setup::default());
-        let answer = Client::new(&proxy).ask(&submit("r-1", "5", "x")).expect("an answer");
+        let backend = Backend::new(Reply::WriteAndClose(form.into()));
+        let (_discovery, proxy) = proxy_with_setup(&[&backend], Setup::default());
+        let answer = proxy.client().request(&submit("r-1", "5", "x")).expect("a response");
         assert_eq!((answer.status(), answer.text().as_str()), (200, "its end ends it"), "{form}");
     }
 }
 
 #[test]
-fn a_big_answer_flows_and_its_deadline_does_not_cut_it() {
-    let (gate, never) = (Gate::default(), Gate::default());
-    let (halves, silent) = (in_halves(&gate), Backend::new(Deed::Hold(never.clone(), ok(""))));
-    let (discovery, proxy) = proxy_with(&[&halves], Setup { deadline: 300, ..Setup::default() });
-    let mut client = Client::new(&proxy);
+fn streamed_response_may_outlast_its_deadline() {
+    let gate = Gate::default();
+    let never = Gate::default();
+    let halves = in_halves(&gate);
+    let silent = Backend::new(Reply::Delayed(never.clone(), ok("")));
+    let (discovery, proxy) = proxy_with_setup(&[&halves], Setup { deadline_ms: 300, ..Setup::default() });
+    let mut client = proxy.client();
     client.send(&page("r-1"));
-    let head = client.head();
+    let head = client.read_head();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("200000")));
-    client.read(BIG / 2); // before the backend has written more
-    assert_eq!(proxy.figure("/pending"), 1);
+    client.read(LONG_BODY / 2); // before the backend has written more
+    assert_eq!(proxy.stat("/pending"), 1);
     // One that began later is over, by its deadline.
     let silent_hosts = ["s-1", "s-2"].map(|name| host(name, silent.address, "up", 0));
-    discovery.say(&list(2, true, &silent_hosts));
-    wait_for("the new list", || proxy.figure("/members") == 2);
-    let other = Client::new(&proxy).ask(&submit("r-2", "0.3", "x")).expect("an answer");
-    assert_eq!((other.status(), silent.seen().len()), (502, 1));
+    discovery.publish(&list(2, true, &silent_hosts));
+    wait_for("the new list", || proxy.stat("/members") == 2);
+    let other = proxy.client().request(&submit("r-2", "0.3", "x")).expect("a response");
+    assert_eq!((other.status(), silent.requests().len()), (502, 1));
     gate.open();
-    assert!(client.read(BIG / 2).iter().all(|b| *b == b'x'));
-    wait_for("its end", || proxy.figure("/completed/page") == 1);
-    assert_eq!(proxy.figure("/pending"), 0);
+    assert!(client.read(LONG_BODY / 2).iter().all(|byte| *byte == b'x'));
+    wait_for("its end", || proxy.stat("/completed/page") == 1);
+    assert_eq!(proxy.stat("/pending"), 0);
     never.open();
 }
 
 #[test]
-fn a_big_answer_that_breaks_is_not_tried_again_and_its_client_sees_it() {
-    let answer = ok(&"x".repeat(BIG));
+fn broken_streamed_response_is_not_retried() {
+    let answer = ok(&"x".repeat(LONG_BODY));
     let cut = answer[..answer.len() - 1].to_owned();
-    for cut in
-        [cut, format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n{}", "x".repeat(BIG))]
-    {
+    for cut in [
+        cut,
+        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n{}", "x".repeat(LONG_BODY)),
+    ] {
         let backends =
-            [Backend::new(Deed::WriteAndClose(cut.clone())), Backend::new(Deed::WriteAndClose(cut))];
-        let (_discovery, proxy) = proxy_with(&[&backends[0], &backends[1]], Setup::default());
-        let mut client = Client::new(&proxy);
+            [Backend::new(Reply::WriteAndClose(cut.clone())), Backend::new(Reply::WriteAndClose(cut))];
+        let (_discovery, proxy) = proxy_with_setup(&[&backends[0], &backends[1]], Setup::default());
+        let mut client = proxy.client();
         client.send(&page("r-1"));
-        let head = client.head();
+        let head = client.read_head();
         assert_eq!(head.status(), 200);
-        let body = client.rest();
+        let body = client.read_rest();
         match head.header("content-length") {
-            Some(_) => assert!(body.len() < BIG, "{}", body.len()),
+            Some(_) => assert!(body.len() < LONG_BODY, "{}", body.len()),
             None => assert!(!body.ends_with(b"0\r\n\r\n")),
         }
-        wait_for("its failure", || proxy.figure("/failed/page") == 1);
-        assert_eq!(backends.iter().map(|b| b.seen().len()).sum::<usize>(), 1);
+        wait_for("its failure", || proxy.stat("/failed/page") == 1);
+        assert_eq!(backends.iter().map(|backend| backend.requests().len()).sum::<usize>(), 1);
     }
 }
 
 #[test]
-fn a_client_that_leaves_a_big_answer_ends_it_at_the_backend() {
+fn client_close_ends_streamed_response_at_backend() {
     let gate = Gate::default();
     let halves = in_halves(&gate);
-    let (_discovery, proxy) = proxy_with(&[&halves], Setup::default());
-    let mut client = Client::new(&proxy);
+    let (_discovery, proxy) = proxy_with_setup(&[&halves], Setup::default());
+    let mut client = proxy.client();
     client.send(&page("r-1"));
-    client.read(BIG / 2);
+    client.read(LONG_BODY / 2);
     drop(client);
-    wait_for("its end", || proxy.figure("/pending") == 0);
+    wait_for("its end", || proxy.stat("/pending") == 0);
     gate.open();
-    wait_for("the connection's end", || halves.ended() == 1);
-    assert_eq!(proxy.figure("/completed/page") + proxy.figure("/failed/page"), 0);
+    wait_for("the connection's end", || halves.closed() == 1);
+    assert_eq!(proxy.stat("/completed/page") + proxy.stat("/failed/page"), 0);
 }
 
 #[test]
-fn a_big_body_flows_while_it_still_comes() {
+fn long_request_body_is_streamed() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let discovery = Discovery::new();
-    discovery.say(&list(1, true, &[host("s-0", listener.local_addr().unwrap(), "up", 0)]));
-    let proxy = Proxy::up(&discovery, &Setup { admin: true, ..Setup::default() });
-    for lengths_told in [true, false] {
+    discovery.publish(&list(1, true, &[host("s-0", listener.local_addr().unwrap(), "up", 0)]));
+    let proxy = Proxy::start_ready(&discovery, &Setup { has_admin: true, ..Setup::default() });
+    for has_length in [true, false] {
         let half = 2_000_000;
-        let mut client = Client::new(&proxy);
+        let mut client = proxy.client();
         let head = submit("r-1", "5", "");
-        client.send(&match lengths_told {
+        client.send(&match has_length {
             true => head.replace("Content-Length: 0", &format!("Content-Length: {}", 2 * half)),
             false => head.replace("Content-Length: 0\r\n", "Transfer-Encoding: chunked\r\n") + "1e8480\r\n",
         });
@@ -131,51 +134,51 @@
         let mut reader = BufReader::with_capacity(1 << 20, stream);
         // The backend has the head and a part while the client has not sent all.
         std::io::BufRead::fill_buf(&mut reader).expect("first bytes");
-        if !lengths_told {
+        if !has_length {
             client.send("\r\n1e8480\r\n");
         }
         client.send(&"y".repeat(half));
-        if !lengths_told {
+        if !has_length {
             client.send("\r\n0\r\n\r\n");
         }
         let request = read_message(&mut reader).expect("a request");
         assert_eq!(request.body.len(), 2 * half);
         assert!(
-            request.body[..half].iter().all(|b| *b == b'x')
-                && request.body[half..].iter().all(|b| *b == b'y')
+            request.body[..half].iter().all(|byte| *byte == b'x')
+                && request.body[half..].iter().all(|byte| *byte == b'y')
         );
         reader.get_mut().write_all(ok("done").as_bytes()).expect("it reads");
-        assert_eq!(client.answer().expect("an answer").text(), "done");
+        assert_eq!(client.response().expect("a response").text(), "done");
     }
-    assert_eq!(proxy.figure("/upstream_requests"), 2);
+    assert_eq!(proxy.stat("/upstream_requests"), 2);
 }
 
 #[test]
-fn a_client_that_does_not_finish_its_body_is_turned_away() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let (_discovery, proxy) = proxy_with(&[&backend], Setup::default());
+fn unfinished_body_is_rejected() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let (_discovery, proxy) = proxy_with_setup(&[&backend], Setup::default());
     for sent in [10, 1_000_000] {
-        let mut client = Client::new(&proxy);
+        let mut client = proxy.client();
         client.send(&submit("r-1", "5", "").replace("Content-Length: 0", "Content-Length: 2000000"));
         client.send(&"x".repeat(sent));
-        assert_eq!(client.last_answer(), Some((408, true)), "after {sent} bytes");
+        assert_eq!(client.last_response(), Some((408, true)), "after {sent} bytes");
     }
-    wait_for("their end", || proxy.figure("/pending") == 0);
-    assert!(backend.seen().is_empty(), "no backend got one whole");
+    wait_for("their end", || proxy.stat("/pending") == 0);
+    assert!(backend.requests().is_empty(), "no backend got one whole");
 }
 
 #[test]
-fn a_small_body_may_come_in_pieces_for_as_long_as_a_head() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let (_discovery, proxy) = proxy_with(&[&backend], Setup::default());
+fn slowly_sent_small_body_is_accepted() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let (_discovery, proxy) = proxy_with_setup(&[&backend], Setup::default());
     let request = submit("r-1", "5", "0123456789");
     let (head, body) = request.split_at(request.len() - 10);
-    let mut client = Client::new(&proxy);
+    let mut client = proxy.client();
     client.send(head);
     for piece in body.as_bytes().chunks(1) {
         std::thread::sleep(std::time::Duration::from_millis(80)); // a slow client, not a wait for something
         client.send(std::str::from_utf8(piece).expect("a digit"));
     }
-    assert_eq!(client.answer().expect("an answer").status(), 200);
-    assert_eq!(backend.seen()[0].text(), "0123456789");
+    assert_eq!(client.response().expect("a response").status(), 200);
+    assert_eq!(backend.requests()[0].text(), "0123456789");
 }
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -2,18 +2,18 @@
 mod sockets;
 
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{TcpListener, TcpStream};
 use std::path::PathBuf;
-use std::process::{Child, Command, Output, Stdio};
+use std::process::{Command, Output, Stdio};
 
 use sockets::*;
 
-/// A file that goes away with the test.
-struct File(PathBuf);
+/// A file that is removed with the test.
+struct TemporaryFile(PathBuf);
 
-impl File {
+impl TemporaryFile {
     fn new(text: &str) -> Self {
-        File(config_file(text))
+        TemporaryFile(config_file(text))
     }
 
     fn path(&self) -> &str {
@@ -21,7 +21,7 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -36,105 +36,83 @@
     String::from_utf8(bytes.to_vec()).expect("text")
 }
 
-/// A proxy that runs by a TOML file.
-struct Served {
-    child: Child,
-    clients: SocketAddr,
-    admin: Option<SocketAddr>,
-    file: File,
+/// Starts a proxy with a TOML file.
+fn serve(toml: &str) -> Proxy {
+    let file = config_file(toml);
+    let child = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
+        .env_remove("NODE_CONFIG")
+        .args(["serve", "--config", file.to_str().expect("a path")])
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("it starts");
+    Proxy::from_child(child, file)
 }
 
-impl Served {
-    fn new(toml: &str) -> Self {
-        let file = File::new(toml);
-        let mut child = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
-            .env_remove("NODE_CONFIG")
-            .args(["serve", "--config", file.path()])
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("it starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines().map_while(Result::ok);
-        let line = lines.find(|line| line.contains("listen=")).expect("it listens");
-        let field = |name: &str| {
-            let rest = line.split_once(name)?.1;
-            rest.split_whitespace().next()?.parse().ok()
-        };
-        let (clients, admin) = (field("listen=").expect("an address"), field("admin="));
-        std::thread::spawn(move || lines.for_each(|line| eprintln!("{line}")));
-        Served { child, clients, admin, file }
-    }
-
-    fn ask(&self, request: &str) -> Message {
-        let mut stream = BufReader::new(TcpStream::connect(self.clients).expect("it accepts"));
-        stream.get_ref().set_read_timeout(Some(LIMIT)).expect("a time-out");
-        stream.get_mut().write_all(request.as_bytes()).expect("it reads");
-        read_message(&mut stream).expect("an answer")
-    }
-
-    fn ctl(&self, args: &[&str]) -> Output {
-        let admin = self.admin.expect("an address").to_string();
-        leadrelay(&[&["ctl", "--admin", &admin], args].concat())
-    }
+/// Sends a request on a connection of its own.
+fn request(proxy: &Proxy, text: &str) -> Message {
+    proxy.client().request(text).expect("a response")
 }
 
-impl Drop for Served {
-    fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
-    }
+/// Runs `leadrelay ctl` for a proxy.
+fn ctl(proxy: &Proxy, args: &[&str]) -> Output {
+    let admin = proxy.admin_address().to_string();
+    leadrelay(&[&["ctl", "--admin", &admin], args].concat())
 }
 
 fn two_backends(first: &Backend, second: &Backend) -> String {
-    let backend = |b: &Backend| format!("[[backends]]\naddress = \"{}\"\n", b.address);
+    let entry = |backend: &Backend| format!("[[backends]]\naddress = \"{}\"\n", backend.address);
     let admin = "[admin]\nlisten = \"127.0.0.1:0\"\n[logging]\naccess = 1\n";
-    format!("listen = \"127.0.0.1:0\"\nup_path = \"/up\"\n{}{}{admin}", backend(first), backend(second))
+    format!("listen = \"127.0.0.1:0\"\nup_path = \"/up\"\n{}{}{admin}", entry(first), entry(second))
 }
 
 #[test]
-fn a_small_file_serves_any_client() {
-    let (one, two) = (Backend::new(Deed::Write(ok("hello"))), Backend::new(Deed::Write(ok("hello"))));
-    let served = Served::new(&two_backends(&one, &two));
-    let answer = served.ask("GET /any/path?x=1 HTTP/1.1\r\nHost: example\r\n\r\n");
+fn minimal_configuration_serves_any_client() {
+    let one = Backend::new(Reply::Write(ok("hello")));
+    let two = Backend::new(Reply::Write(ok("hello")));
+    let proxy = serve(&two_backends(&one, &two));
+    let answer = request(&proxy, "GET /any/path?x=1 HTTP/1.1\r\nHost: example\r\n\r\n");
     assert_eq!((answer.status(), answer.text().as_str()), (200, "hello"));
-    assert_eq!(served.ask("GET /up HTTP/1.1\r\nHost: example\r\n\r\n").status(), 200);
-    let seen: Vec<Message> = one.seen().into_iter().chain(two.seen()).collect();
+    assert_eq!(request(&proxy, "GET /up HTTP/1.1\r\nHost: example\r\n\r\n").status(), 200);
+    let seen: Vec<Message> = one.requests().into_iter().chain(two.requests()).collect();
     assert_eq!(seen.len(), 1, "the proxy answers /up by itself");
-    assert_eq!(seen[0].first, "GET /any/path?x=1 HTTP/1.1");
+    assert_eq!(seen[0].first_line, "GET /any/path?x=1 HTTP/1.1");
     assert!(!seen[0].id().is_empty(), "a request without an id gets one");
     assert_eq!(seen[0].header("x-forwarded-for"), Some("127.0.0.1"));
     assert_eq!(seen[0].header("host"), Some("example"));
 }
 
 #[test]
-fn a_backends_own_answer_is_passed_on_as_it_is_worded() {
-    let own = |request: &Message| match request.first.split(' ').nth(1) {
-        Some("/gone") => Deed::Write("HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\nno".into()),
+fn backend_response_is_forwarded_unchanged() {
+    let own = |request: &Message| match request.first_line.split(' ').nth(1) {
+        Some("/gone") => Reply::Write("HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\nno".into()),
         Some("/moved") => {
-            Deed::Write("HTTP/1.1 302 Found\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n".into())
+            Reply::Write("HTTP/1.1 302 Found\r\nLocation: /else\r\nContent-Length: 0\r\n\r\n".into())
         }
-        _ => Deed::Write("HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops".into()),
+        _ => Reply::Write("HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops".into()),
     };
-    let (one, two) = (Backend::with(own), Backend::with(own));
-    let served = Served::new(&two_backends(&one, &two));
-    let get = |path: &str| served.ask(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
+    let one = Backend::with(own);
+    let two = Backend::with(own);
+    let proxy = serve(&two_backends(&one, &two));
+    let get = |path: &str| request(&proxy, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
     assert_eq!((get("/gone").status(), get("/gone").text().as_str()), (404, "no"));
     assert_eq!(get("/moved").header("location"), Some("/else"));
-    let post = served.ask("POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+    let post = request(&proxy, "POST /orders HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
     assert_eq!((post.status(), post.text().as_str()), (500, "oops"));
-    let seen = one.seen().into_iter().chain(two.seen());
+    let seen = one.requests().into_iter().chain(two.requests());
     assert_eq!(
-        seen.filter(|m| m.first.starts_with("POST")).count(),
+        seen.filter(|request| request.first_line.starts_with("POST")).count(),
         1,
-        "what must not run twice is sent once"
+        "a request that is not idempotent is sent once"
     );
 }
 
 #[test]
-fn a_head_tells_the_length_of_what_a_get_would_bring() {
-    let head = Deed::Write("HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n".into());
-    let (one, two) = (Backend::new(head.clone()), Backend::new(head));
-    let served = Served::new(&two_backends(&one, &two));
-    let mut stream = TcpStream::connect(served.clients).expect("it accepts");
+fn head_response_keeps_content_length() {
+    let head = Reply::Write("HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n".into());
+    let one = Backend::new(head.clone());
+    let two = Backend::new(head);
+    let proxy = serve(&two_backends(&one, &two));
+    let mut stream = TcpStream::connect(proxy.address).expect("it accepts");
     stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
     stream.write_all(b"HEAD /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("it reads");
     let mut answer = String::new();
@@ -147,68 +125,64 @@
 }
 
 #[test]
-fn operators_reach_a_proxy_by_ctl() {
-    let (one, two) = (Backend::new(Deed::Write(ok(""))), Backend::new(Deed::Write(ok(""))));
-    let served = Served::new(&two_backends(&one, &two));
-    wait_for("readiness", || served.ctl(&["health"]).status.success());
-    served.ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    let stats = served.ctl(&["stats", "--json"]);
+fn ctl_calls_reach_the_proxy() {
+    let one = Backend::new(Reply::Write(ok("")));
+    let two = Backend::new(Reply::Write(ok("")));
+    let proxy = serve(&two_backends(&one, &two));
+    wait_for("readiness", || ctl(&proxy, &["health"]).status.success());
+    request(&proxy, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+    let stats = ctl(&proxy, &["stats", "--json"]);
     let stats: serde_json::Value = serde_json::from_slice(&stats.stdout).expect("JSON");
     assert_eq!((&stats["completed"]["read"], &stats["members"]), (&1.into(), &2.into()));
     assert!(
-        text(&served.ctl(&["stats"]).stdout).lines().any(|l| l.starts_with("| read ")),
+        text(&ctl(&proxy, &["stats"]).stdout).lines().any(|line| line.starts_with("| read ")),
         "a table for people"
     );
-    let metrics = text(&served.ctl(&["metrics"]).stdout);
+    let metrics = text(&ctl(&proxy, &["metrics"]).stdout);
     assert!(metrics.contains("leadrelay_requests_total{class=\"read\",cause=\"served\"} 1"), "{metrics}");
     assert!(metrics.contains("leadrelay_choices_total{choice=\"at_once\"}"), "{metrics}");
     let id = one.address.to_string();
-    assert_eq!(text(&served.ctl(&["maint", &id]).stdout), "yes\n");
+    assert_eq!(text(&ctl(&proxy, &["maint", &id]).stdout), "yes\n");
     for _ in 0..4 {
-        served.ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+        request(&proxy, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     }
-    let before = one.seen().len();
-    assert!(before <= 1 && two.seen().len() >= 4, "nothing goes to a backend in maintenance");
-    assert_eq!(text(&served.ctl(&["ready", &id]).stdout), "yes\n");
-    let unknown = served.ctl(&["maint", "nobody"]);
+    let before = one.requests().len();
+    assert!(before <= 1 && two.requests().len() >= 4, "nothing goes to a backend in maintenance");
+    assert_eq!(text(&ctl(&proxy, &["ready", &id]).stdout), "yes\n");
+    let unknown = ctl(&proxy, &["maint", "nobody"]);
     assert_eq!(unknown.status.code(), Some(1));
     assert!(text(&unknown.stderr).contains("no backend named 'nobody'"), "{}", text(&unknown.stderr));
-    assert_eq!(text(&served.ctl(&["drain"]).stdout), "yes\n");
-    assert_eq!(served.ask("GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
-    assert_eq!(text(&served.ctl(&["undrain", "--json"]).stdout), "{\"status\":200,\"yes\":true}\n");
+    assert_eq!(text(&ctl(&proxy, &["drain"]).stdout), "yes\n");
+    assert_eq!(request(&proxy, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
+    assert_eq!(text(&ctl(&proxy, &["undrain", "--json"]).stdout), "{\"status\":200,\"yes\":true}\n");
 }
 
 #[test]
-fn a_reload_takes_other_backends_whole_or_not_at_all() {
-    let (one, two) = (Backend::new(Deed::Write(ok(""))), Backend::new(Deed::Write(ok(""))));
+fn reload_changes_backends_completely_or_not_at_all() {
+    let one = Backend::new(Reply::Write(ok("")));
+    let two = Backend::new(Reply::Write(ok("")));
     let toml = two_backends(&one, &two);
-    let served = Served::new(&toml);
-    wait_for("readiness", || served.ctl(&["health"]).status.success());
+    let proxy = serve(&toml);
+    wait_for("readiness", || ctl(&proxy, &["health"]).status.success());
     let count = |key: &str| {
-        let stats = served.ctl(&["stats", "--json"]);
+        let stats = ctl(&proxy, &["stats", "--json"]);
         serde_json::from_slice::<serde_json::Value>(&stats.stdout).expect("JSON")[key].as_u64()
     };
-    let reload = |text: &str| {
-        std::fs::write(&served.file.0, text).expect("a file");
-        let pid = served.child.id().to_string();
-        assert!(Command::new("kill").args(["-HUP", &pid]).status().expect("kill runs").success());
-    };
-    reload("listen = 7");
+    proxy.reload("listen = 7");
     wait_for("the fault", || count("config_reload_errors") == Some(1));
     assert_eq!(count("members"), Some(2));
-    let other = Backend::new(Deed::Write(ok("")));
-    reload(&format!("{toml}[[backends]]\naddress = \"{}\"\n", other.address));
+    let other = Backend::new(Reply::Write(ok("")));
+    proxy.reload(&format!("{toml}[[backends]]\naddress = \"{}\"\n", other.address));
     wait_for("the third", || count("members") == Some(3));
     assert_eq!((count("config_reloads"), count("config_reload_errors")), (Some(1), Some(1)));
 }
 
 #[test]
-fn what_can_not_be_used_is_told_in_one_message_with_the_right_code() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let listener = taken;
+fn startup_error_gives_one_message_and_exit_code() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let taken = listener.local_addr().expect("an address");
     let file = |listen: &str, more: &str| {
-        File::new(&format!("listen = \"{listen}\"\n[[backends]]\naddress = \"127.0.0.1:1\"\n{more}"))
+        TemporaryFile::new(&format!("listen = \"{listen}\"\n[[backends]]\naddress = \"127.0.0.1:1\"\n{more}"))
     };
     for (file, code, word) in [
         (file(&taken.to_string(), ""), 1, format!("cannot listen on {taken}")),
@@ -227,12 +201,10 @@
         ),
     ] {
         let run = leadrelay(&["serve", "--config", file.path()]);
-        let told = text(&run.stderr);
-        assert_eq!(run.status.code(), Some(code), "{told}");
-        assert!(
-            told.contains(&word) && told.lines().filter(|l| l.starts_with("leadrelay: ")).count() == 1,
-            "{told}"
-        );
+        let message = text(&run.stderr);
+        assert_eq!(run.status.code(), Some(code), "{message}");
+        let messages = message.lines().filter(|line| line.starts_with("leadrelay: ")).count();
+        assert!(message.contains(&word) && messages == 1, "{message}");
     }
     for args in [
         &["serve"][..],
@@ -253,7 +225,7 @@
 }
 
 #[test]
-fn an_admin_address_that_does_not_answer_is_a_failure_in_time() {
+fn ctl_without_response_fails_in_time() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = silent.local_addr().expect("an address").to_string();
     let run = leadrelay(&["ctl", "--admin", &address, "health"]);
@@ -266,8 +238,8 @@
 }
 
 #[test]
-fn check_tells_every_fault_for_people_and_for_scripts() {
-    let file = File::new("listen = 1\n[limits]\nattempts = 0\n");
+fn check_reports_all_errors_as_text_and_json() {
+    let file = TemporaryFile::new("listen = 1\n[limits]\nattempts = 0\n");
     let run = leadrelay(&["check", file.path()]);
     let path = file.path();
     let expected = format!(
@@ -277,25 +249,25 @@
     let run = leadrelay(&["check", "--json", path]);
     let faults: serde_json::Value = serde_json::from_slice(&run.stdout).expect("JSON");
     assert_eq!((run.status.code(), faults[1]["line"].as_u64()), (Some(2), Some(3)));
-    let example = File::new(&text(&leadrelay(&["config", "example"]).stdout));
+    let example = TemporaryFile::new(&text(&leadrelay(&["config", "example"]).stdout));
     let run = leadrelay(&["check", example.path()]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
 }
 
 #[test]
-fn the_readmes_configuration_is_good() {
+fn readme_configuration_is_valid() {
     let readme = include_str!("../../../README.md");
     let (_, rest) = readme.split_once("```toml\n").expect("an example");
     let (toml, _) = rest.split_once("```").expect("its end");
-    let file = File::new(toml);
+    let file = TemporaryFile::new(toml);
     let run = leadrelay(&["check", file.path()]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_nobody_up() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let file = File::new(&two_backends(&backend, &Backend::new(Deed::Write(ok("")))));
+fn unread_log_does_not_block_the_proxy() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let file = TemporaryFile::new(&two_backends(&backend, &Backend::new(Reply::Write(ok("")))));
     let mut child = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
         .args(["serve", "--config", file.path(), "--log", "trace"])
         .stderr(Stdio::piped())
@@ -313,15 +285,15 @@
     let mut stream = BufReader::new(TcpStream::connect(address).expect("it accepts"));
     stream.get_ref().set_read_timeout(Some(LIMIT)).expect("a time-out");
     let name = "x".repeat(8000);
-    for n in 0..300 {
-        let request = format!("GET /{n} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}{n}\r\n\r\n");
+    for number in 0..300 {
+        let request = format!("GET /{number} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}{number}\r\n\r\n");
         stream.get_mut().write_all(request.as_bytes()).expect("it reads");
-        assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
+        assert_eq!(read_message(&mut stream).expect("a response").status(), 200);
     }
     drop(log); // and a log whose reader has gone
     for _ in 0..50 {
         stream.get_mut().write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n").expect("it reads");
-        assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
+        assert_eq!(read_message(&mut stream).expect("a response").status(), 200);
     }
     assert!(child.try_wait().expect("a child").is_none(), "it runs on");
     child.kill().expect("it runs");
@@ -329,7 +301,7 @@
 }
 
 #[test]
-fn pages_and_completions_come_from_the_same_source() {
+fn man_page_completions_version_and_schema_are_printed() {
     let man = text(&leadrelay(&["man"]).stdout);
     assert!(man.contains(".TH leadrelay") && man.contains("Exit codes"), "{man}");
     for shell in ["bash", "zsh", "fish"] {
@@ -343,27 +315,39 @@
 }
 
 #[test]
-fn the_demo_accounts_for_every_request() {
+fn demo_accounts_for_every_request() {
     let run = leadrelay(&["demo", "--seconds", "2", "--json"]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
-    let told: serde_json::Value =
+    let summary: serde_json::Value =
         serde_json::from_slice(&run.stdout).expect("one JSON object and nothing else");
-    let of = |key: &str| told[key].as_u64().expect("a count");
-    assert!(of("sent") > 100, "{told}");
-    assert_eq!(of("sent"), of("in_time") + of("late") + of("refused") + of("failed"), "{told}");
-    let served =
-        told["backends"].as_array().expect("a list").iter().map(|b| b["served"].as_u64().expect("a count"));
-    assert!(served.sum::<u64>() >= of("in_time") + of("late"), "{told}");
-    let causes = told["causes"].as_object().expect("a table").values().map(|c| c.as_u64().expect("a count"));
-    assert!(causes.sum::<u64>() <= of("sent"), "{told}");
+    let count = |key: &str| summary[key].as_u64().expect("a count");
+    assert!(count("sent") > 100, "{summary}");
+    assert_eq!(
+        count("sent"),
+        count("in_time") + count("late") + count("refused") + count("failed"),
+        "{summary}"
+    );
+    let served = summary["backends"]
+        .as_array()
+        .expect("a list")
+        .iter()
+        .map(|backend| backend["served"].as_u64().expect("a count"));
+    assert!(served.sum::<u64>() >= count("in_time") + count("late"), "{summary}");
+    let causes = summary["causes"]
+        .as_object()
+        .expect("a table")
+        .values()
+        .map(|count| count.as_u64().expect("a count"));
+    assert!(causes.sum::<u64>() <= count("sent"), "{summary}");
     assert!(
-        told["choices"]["at_once"].as_u64().expect("a count") > 0 && told["p99_ms"].as_f64() > Some(0.0),
-        "{told}"
+        summary["choices"]["at_once"].as_u64().expect("a count") > 0
+            && summary["p99_ms"].as_f64() > Some(0.0),
+        "{summary}"
     );
 }
 
 #[test]
-fn the_demo_ends_with_a_summary_at_ctrl_c() {
+fn demo_prints_summary_at_ctrl_c() {
     let mut child = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
         .arg("demo")
         .stdout(Stdio::piped())
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that moves, restarts, breaks off or has too many callers, where lists are asked for.
+//! Discovery that moves, restarts, breaks off or is overloaded, where lists are polled.
 mod sockets;
 
 use std::io::{BufReader, Read, Write};
@@ -8,20 +8,20 @@
 use std::time::{Duration, Instant};
 
 use sockets::{
-    Backend, Client, Closed, Deed, Message, Proxy, Setup, config, full_listener, host, list, ok, page,
+    Backend, Message, Proxy, RefusingAddress, Reply, Setup, config, full_listener, host, list, ok, page,
     read_message, wait_for,
 };
 
 /// What a scripted discovery does with a call.
-enum Turn {
-    /// Waits so long, then tells these lines and keeps the watch open.
-    Tell(Duration, Vec<String>),
-    /// Tells these lines and ends the watch.
+enum Response {
+    /// Waits, then sends these lines and keeps the watch open.
+    Send(Duration, Vec<String>),
+    /// Sends these lines and ends the watch.
     End(Vec<String>),
-    /// Tells these lines and nothing more, and keeps the watch open.
+    /// Sends these lines and nothing more, and keeps the watch open.
     Silence(Vec<String>),
     /// Answers 503.
-    Refuse,
+    Reject,
 }
 
 /// Calls by when they came and their first lines.
@@ -34,14 +34,16 @@
 }
 
 impl Scripted {
-    fn new(script: impl Fn(usize) -> Turn + Send + Sync + 'static) -> Self {
+    fn new(script: impl Fn(usize) -> Response + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let calls = Calls::default();
-        let (seen, script) = (calls.clone(), Arc::new(script));
+        let seen = calls.clone();
+        let script = Arc::new(script);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (seen, script) = (seen.clone(), script.clone());
+                let seen = seen.clone();
+                let script = script.clone();
                 thread::spawn(move || serve(stream.expect("a connection"), &seen, &*script));
             }
         });
@@ -57,30 +59,30 @@
     }
 }
 
-fn serve(mut stream: TcpStream, calls: &Calls, script: &dyn Fn(usize) -> Turn) {
+fn serve(mut stream: TcpStream, calls: &Calls, script: &dyn Fn(usize) -> Response) {
     let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
     let Some(request) = read_message(&mut reader) else { return };
     let number = {
         let mut calls = calls.lock().expect("no panic");
-        calls.push((Instant::now(), request.first));
+        calls.push((Instant::now(), request.first_line));
         calls.len() - 1
     };
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let chunk = |line: &String| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
     let chunks = |lines: &[String]| lines.iter().map(chunk).collect::<String>();
     match script(number) {
-        Turn::Refuse => {
+        Response::Reject => {
             let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
         }
-        Turn::Silence(lines) => {
+        Response::Silence(lines) => {
             let head = if lines.is_empty() { "" } else { head };
             let _ = stream.write_all(format!("{head}{}", chunks(&lines)).as_bytes());
             let _ = reader.read(&mut [0]); // until the proxy closes it
         }
-        Turn::End(lines) => {
+        Response::End(lines) => {
             let _ = stream.write_all(format!("{head}{}0\r\n\r\n", chunks(&lines)).as_bytes());
         }
-        Turn::Tell(wait, lines) => {
+        Response::Send(wait, lines) => {
             thread::sleep(wait);
             let _ = stream.write_all(format!("{head}{}", chunks(&lines)).as_bytes());
             // Empty lines for as long as somebody listens.
@@ -91,25 +93,25 @@
     }
 }
 
-/// A proxy that asks for its lists.
-fn asking(address: SocketAddr, known: &str) -> (String, Proxy) {
-    let setup = Setup { known: known.into(), ..Setup::default() };
+/// A proxy that polls its lists.
+fn polling_proxy(address: SocketAddr, known: &str) -> (String, Proxy) {
+    let setup = Setup { cached_list: known.into(), ..Setup::default() };
     let text = config(address, &setup).replace(r#""discovery":"pushed""#, r#""discovery":"on_request""#);
-    let proxy = Proxy::start_with(&text, &setup);
+    let proxy = Proxy::start_with_config(&text, &setup);
     (text, proxy)
 }
 
-fn told(seq: u64, whole: bool, backend: &Backend, health: &str) -> String {
+fn list_of_one(seq: u64, whole: bool, backend: &Backend, health: &str) -> String {
     list(seq, whole, &[host("s-0", backend.address, health, 0)])
 }
 
 fn status(proxy: &Proxy, id: &str) -> u16 {
     let text = page(id).replace("X-Timeout: 5", "X-Timeout: 0.3");
-    Client::new(proxy).ask(&text).expect("an answer").status()
+    proxy.client().request(&text).expect("a response").status()
 }
 
 /// Waits until a proxy sends nothing any more to its only backend.
-fn drained(proxy: &Proxy) {
+fn wait_for_drain(proxy: &Proxy) {
     let mut number = 0;
     wait_for("the drain", || {
         number += 1;
@@ -118,93 +120,96 @@
 }
 
 #[test]
-fn a_watch_that_ends_after_a_move_is_opened_again() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let first = told(1, true, &backend, "up");
-    let old = Scripted::new(move |_| Turn::Tell(Duration::ZERO, vec![first.clone()]));
-    let (whole, drain) = (told(1, true, &backend, "up"), told(2, false, &backend, "draining"));
-    // The first watch after the move tells its list and ends; the drain is told to the next one.
+fn watch_ended_after_move_is_reopened() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let first = list_of_one(1, true, &backend, "up");
+    let old = Scripted::new(move |_| Response::Send(Duration::ZERO, vec![first.clone()]));
+    let full = list_of_one(1, true, &backend, "up");
+    let drain = list_of_one(2, false, &backend, "draining");
+    // The first watch after the move gets the list and ends; the next one gets the drain.
     let new = Scripted::new(move |call| match call {
-        0 => Turn::End(vec![whole.clone()]),
-        _ => Turn::Tell(Duration::ZERO, vec![drain.clone()]),
+        0 => Response::End(vec![full.clone()]),
+        _ => Response::Send(Duration::ZERO, vec![drain.clone()]),
     });
-    let (text, proxy) = asking(old.address, "null");
+    let (text, proxy) = polling_proxy(old.address, "null");
     wait_for("/up", || proxy.is_up());
     assert_eq!(status(&proxy, "r-before"), 200);
     proxy.reload(&text.replace(&old.address.to_string(), &new.address.to_string()));
-    drained(&proxy);
+    wait_for_drain(&proxy);
     assert!(new.lines()[1].contains("watch=1&after=1 "), "{:?}", new.lines());
     assert_eq!(old.count(), 1, "the old address is called no more");
 }
 
 #[test]
-fn a_first_watch_after_a_move_that_fails_is_opened_again() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let first = told(1, true, &backend, "up");
-    let old = Scripted::new(move |_| Turn::Tell(Duration::ZERO, vec![first.clone()]));
-    let drain = told(1, true, &backend, "draining");
+fn failed_first_watch_after_move_is_reopened() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let first = list_of_one(1, true, &backend, "up");
+    let old = Scripted::new(move |_| Response::Send(Duration::ZERO, vec![first.clone()]));
+    let drain = list_of_one(1, true, &backend, "draining");
     let new = Scripted::new(move |call| match call {
-        0 | 1 => Turn::Refuse,
-        _ => Turn::Tell(Duration::ZERO, vec![drain.clone()]),
+        0 | 1 => Response::Reject,
+        _ => Response::Send(Duration::ZERO, vec![drain.clone()]),
     });
-    let (text, proxy) = asking(old.address, "null");
+    let (text, proxy) = polling_proxy(old.address, "null");
     wait_for("/up", || proxy.is_up());
     proxy.reload(&text.replace(&old.address.to_string(), &new.address.to_string()));
-    drained(&proxy);
+    wait_for_drain(&proxy);
     assert_eq!((old.count(), new.count()), (1, 3));
 }
 
 #[test]
-fn a_call_that_waits_its_turn_is_not_given_up() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let line = told(1, true, &backend, "up");
+fn queued_discovery_call_is_not_cancelled() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let line = list_of_one(1, true, &backend, "up");
     // A service that answers whoever has waited for 1.6 s, and nobody sooner.
-    let busy = Scripted::new(move |_| Turn::Tell(Duration::from_millis(1600), vec![line.clone()]));
-    let (_, proxy) = asking(busy.address, "null");
+    let busy = Scripted::new(move |_| Response::Send(Duration::from_millis(1600), vec![line.clone()]));
+    let (_, proxy) = polling_proxy(busy.address, "null");
     wait_for("/up", || proxy.is_up());
     assert_eq!(busy.count(), 1, "its turn came, as nobody had given it up");
     assert_eq!(status(&proxy, "r-1"), 200);
 }
 
 #[test]
-fn a_service_that_counts_its_versions_anew_is_believed() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let (up, drain) = (told(41, true, &backend, "up"), told(3, true, &backend, "draining"));
+fn lower_version_of_restarted_discovery_is_accepted() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let up = list_of_one(41, true, &backend, "up");
+    let drain = list_of_one(3, true, &backend, "draining");
     let restarted = Scripted::new(move |call| match call {
-        0 => Turn::End(vec![up.clone()]),
-        _ => Turn::Tell(Duration::ZERO, vec![drain.clone()]),
+        0 => Response::End(vec![up.clone()]),
+        _ => Response::Send(Duration::ZERO, vec![drain.clone()]),
     });
-    let (_, proxy) = asking(restarted.address, "null");
+    let (_, proxy) = polling_proxy(restarted.address, "null");
     wait_for("/up", || proxy.is_up());
-    drained(&proxy);
+    wait_for_drain(&proxy);
     assert_eq!(restarted.count(), 2);
 }
 
 #[test]
-fn changes_since_a_version_that_the_service_never_had_lead_to_the_whole_list() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let up = told(41, true, &backend, "up");
-    let (changes, whole) = (list(3, false, &[]), told(3, true, &backend, "draining"));
+fn changes_since_unknown_version_lead_to_full_list() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let up = list_of_one(41, true, &backend, "up");
+    let changes = list(3, false, &[]);
+    let full = list_of_one(3, true, &backend, "draining");
     let restarted = Scripted::new(move |call| match call {
-        0 => Turn::End(vec![up.clone()]),
-        1 => Turn::Tell(Duration::ZERO, vec![changes.clone()]),
-        _ => Turn::Tell(Duration::ZERO, vec![whole.clone()]),
+        0 => Response::End(vec![up.clone()]),
+        1 => Response::Send(Duration::ZERO, vec![changes.clone()]),
+        _ => Response::Send(Duration::ZERO, vec![full.clone()]),
     });
-    let (_, proxy) = asking(restarted.address, "null");
+    let (_, proxy) = polling_proxy(restarted.address, "null");
     wait_for("/up", || proxy.is_up());
-    drained(&proxy);
+    wait_for_drain(&proxy);
     let lines = restarted.lines();
     assert!(lines[1].contains("after=41") && !lines[2].contains("after"), "{lines:?}");
 }
 
-/// After this span a change counts as known that discovery could have told.
-const ASSUMED: Duration = Duration::from_secs(6);
+/// After this time a change counts as known that discovery could have published.
+const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// The same after a move.
-const MOVED: Duration = Duration::from_secs(4);
+const NOTIFICATION_TIMEOUT_AFTER_MOVE: Duration = Duration::from_secs(4);
 /// The grace of the test's settings after a drain counts as known, and the slack of the rule.
 const GRACE: Duration = Duration::from_millis(550);
 
-/// Asks a proxy again and again until it refuses. Returns when the last request that it has served was sent.
+/// Sends requests to a proxy until it rejects one. Returns when the last request that it has served was sent.
 fn served_until(proxy: &Proxy) -> (Instant, Message) {
     let mut last = Instant::now();
     let mut number = 0;
@@ -212,7 +217,7 @@
         number += 1;
         let sent = Instant::now();
         let text = page(&format!("r-until-{number}")).replace("X-Timeout: 5", "X-Timeout: 0.3");
-        let answer = Client::new(proxy).ask(&text).expect("an answer");
+        let answer = proxy.client().request(&text).expect("a response");
         if answer.status() != 200 {
             return (last, answer);
         }
@@ -223,37 +228,40 @@
 }
 
 #[test]
-fn nothing_is_sent_once_a_drain_that_a_silent_discovery_kept_back_may_count_as_known() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let line = told(1, true, &backend, "up");
+fn silent_discovery_ends_sends_before_a_hidden_drain_counts() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let line = list_of_one(1, true, &backend, "up");
     // The first watch falls silent right after its list; later calls are accepted and never answered.
     let silent = Scripted::new(move |call| match call {
-        0 => Turn::Silence(vec![line.clone()]),
-        _ => Turn::Silence(Vec::new()),
+        0 => Response::Silence(vec![line.clone()]),
+        _ => Response::Silence(Vec::new()),
     });
-    let (_, proxy) = asking(silent.address, "null");
+    let (_, proxy) = polling_proxy(silent.address, "null");
     wait_for("/up", || proxy.is_up());
-    let heard_at = Instant::now();
+    let received_at = Instant::now();
     let (last, refusal) = served_until(&proxy);
     assert!(
-        last.duration_since(heard_at) < ASSUMED + GRACE,
+        last.duration_since(received_at) < NOTIFICATION_TIMEOUT + GRACE,
         "served {:?} later",
-        last.duration_since(heard_at)
+        last.duration_since(received_at)
+    );
+    assert!(
+        last.duration_since(received_at) > NOTIFICATION_TIMEOUT - Duration::from_secs(1),
+        "no sooner than needed"
     );
-    assert!(last.duration_since(heard_at) > ASSUMED - Duration::from_secs(1), "no sooner than needed");
     assert_eq!(refusal.status(), 503);
     assert!(refusal.header("retry-after").is_some(), "{refusal:?}");
     assert!(silent.count() > 1, "it has tried to hear discovery again");
 }
 
 #[test]
-fn a_discovery_that_is_down_has_nothing_to_tell_and_service_goes_on() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let known = told(1, true, &backend, "up");
-    let down = Closed::new();
-    let (_, proxy) = asking(down.address, &known);
+fn service_continues_while_discovery_is_down() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let known = list_of_one(1, true, &backend, "up");
+    let down = RefusingAddress::new();
+    let (_, proxy) = polling_proxy(down.address, &known);
     wait_for("/up", || proxy.is_up());
-    let end = Instant::now() + ASSUMED + Duration::from_secs(3);
+    let end = Instant::now() + NOTIFICATION_TIMEOUT + Duration::from_secs(3);
     let mut number = 0;
     while Instant::now() < end {
         number += 1;
@@ -263,20 +271,20 @@
 }
 
 #[test]
-fn after_a_move_to_a_discovery_that_says_nothing_sends_end_in_time() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let first = told(1, true, &backend, "up");
-    let old = Scripted::new(move |_| Turn::Tell(Duration::ZERO, vec![first.clone()]));
+fn sends_end_after_move_to_silent_discovery() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let first = list_of_one(1, true, &backend, "up");
+    let old = Scripted::new(move |_| Response::Send(Duration::ZERO, vec![first.clone()]));
     // Connections to it don't come up.
     let new = full_listener();
     let address = new.0.local_addr().expect("an address");
-    let (text, proxy) = asking(old.address, "null");
+    let (text, proxy) = polling_proxy(old.address, "null");
     wait_for("/up", || proxy.is_up());
     let moved_at = Instant::now();
     proxy.reload(&text.replace(&old.address.to_string(), &address.to_string()));
     let (last, refusal) = served_until(&proxy);
     assert!(
-        last.duration_since(moved_at) < MOVED + GRACE,
+        last.duration_since(moved_at) < NOTIFICATION_TIMEOUT_AFTER_MOVE + GRACE,
         "served {:?} later",
         last.duration_since(moved_at)
     );
@@ -284,35 +292,36 @@
 }
 
 #[test]
-fn where_lists_are_pushed_a_new_process_that_hears_nothing_soon_refuses() {
-    let backend = Backend::new(Deed::Write(ok("")));
+fn new_process_without_pushed_list_rejects_soon() {
+    let backend = Backend::new(Reply::Write(ok("")));
     let hangs = full_listener();
-    let setup = Setup { known: told(1, true, &backend, "up"), ..Setup::default() };
+    let setup = Setup { cached_list: list_of_one(1, true, &backend, "up"), ..Setup::default() };
     let started_at = Instant::now();
-    let proxy = Proxy::start_by(hangs.0.local_addr().expect("an address"), &setup);
+    let proxy = Proxy::start_with_discovery_at(hangs.0.local_addr().expect("an address"), &setup);
     wait_for("/up", || proxy.is_up());
     let (last, refusal) = served_until(&proxy);
     let served_for = last.duration_since(started_at);
-    assert!(served_for < GRACE || backend.seen().is_empty(), "served for {served_for:?}");
+    assert!(served_for < GRACE || backend.requests().is_empty(), "served for {served_for:?}");
     assert_eq!(refusal.status(), 503);
     assert!(refusal.header("retry-after").is_some(), "{refusal:?}");
 }
 
-/// A proxy is told a list that can't be used, and another one by the next call. Asserts that it serves by the last good
+/// A proxy gets a list that can't be used, and another one by the next call. Asserts that it serves by the last good
 /// one in between, asks for what follows that, and logs the error once.
-fn survives(broken: String, expected: &str) {
-    let (old, new) = (Backend::new(Deed::Write(ok("old"))), Backend::new(Deed::Write(ok("new"))));
-    let first = vec![told(1, true, &old, "up"), broken];
+fn assert_list_is_skipped(broken: String, expected: &str) {
+    let old = Backend::new(Reply::Write(ok("old")));
+    let new = Backend::new(Reply::Write(ok("new")));
+    let first = vec![list_of_one(1, true, &old, "up"), broken];
     let next = vec![list(3, true, &[host("s-new", new.address, "up", 0)])];
     let discovery = Scripted::new(move |call| match call {
-        0 => Turn::Tell(Duration::ZERO, first.clone()),
-        _ => Turn::Tell(Duration::from_millis(1500), next.clone()),
+        0 => Response::Send(Duration::ZERO, first.clone()),
+        _ => Response::Send(Duration::from_millis(1500), next.clone()),
     });
-    let (_, proxy) = asking(discovery.address, "null");
+    let (_, proxy) = polling_proxy(discovery.address, "null");
     let log = || proxy.log.lock().expect("no panic").clone();
     wait_for("the error", || log().contains(expected));
     wait_for("/up", || proxy.is_up());
-    let text = |id: &str| Client::new(&proxy).ask(&page(id)).expect("an answer").text();
+    let text = |id: &str| proxy.client().request(&page(id)).expect("a response").text();
     assert_eq!(text("r-between"), "old");
     wait_for("the new list", || text("r-after") == "new");
     let resumed = discovery.lines()[1].clone();
@@ -324,7 +333,7 @@
 }
 
 #[test]
-fn a_list_that_cannot_be_used_ends_its_call_and_the_last_good_one_stays() {
+fn unusable_list_ends_call_and_last_good_one_stays() {
     let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let good = host("s-1", nobody, "up", 0);
     let entries = |odd: &str| list(2, false, &[good.clone(), odd.to_owned()]);
@@ -343,7 +352,7 @@
     ];
     thread::scope(|scope| {
         for (broken, expected) in cases {
-            scope.spawn(move || survives(broken, expected));
+            scope.spawn(move || assert_list_is_skipped(broken, expected));
         }
     });
 }
--- /dev/null
+++ b/crates/cli/tests/forwarding.rs
@@ -0,0 +1,128 @@
+//! What goes through a proxy unchanged, and what clients get from the proxy itself.
+mod sockets;
+
+use std::time::Duration;
+
+use sockets::*;
+
+#[test]
+fn request_and_response_are_forwarded_unchanged() {
+    let backend = Backend::new(Reply::Write(ok("the answer")));
+    let (_discovery, proxy) = proxy_with(&[&backend]);
+    let mut client = proxy.client();
+    let request = "POST /booking/7?sid=a%20b&x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: r-1\r\n\
+        X-Tenant-Id: acme\r\nX-Timeout: 3.5\r\nIdempotency-Key: k-1\r\nConnection: keep-alive, X-Hop\r\n\
+        X-Hop: 1\r\nContent-Length: 4\r\n\r\nbody";
+    let answer = client.request(request).expect("a response");
+    assert_eq!((answer.status(), answer.text().as_str()), (200, "the answer"));
+    assert_eq!(answer.header("x-own"), Some("kept"));
+    let seen = &backend.requests()[0];
+    assert_eq!(seen.first_line, "POST /booking/7?sid=a%20b&x=1 HTTP/1.1");
+    assert_eq!(
+        (seen.id(), seen.header("idempotency-key"), seen.text().as_str()),
+        ("r-1", Some("k-1"), "body")
+    );
+    assert_eq!((seen.header("host"), seen.header("x-hop")), (Some("origin.svc"), None));
+    let left: f64 = seen.header("x-timeout").expect("a time").parse().expect("a number");
+    assert!(left > 0.0 && left <= 3.5, "{left}");
+    // The connections on both sides are used again.
+    assert_eq!(status(client.request(&page("r-2"))), 200);
+    assert_eq!(backend.requests().len(), 2);
+    assert_eq!(backend.accepted(), 1);
+}
+
+#[test]
+fn rejection_has_retry_after() {
+    let backend = Backend::new(Reply::Write(empty("503 Busy\r\nX-Not-Processed: 1")));
+    let (_discovery, proxy) = proxy_with(&[&backend]);
+    let answer = proxy.client().request(&submit("r-1", "5", "x")).expect("a response");
+    let after: f64 = answer.header("retry-after").expect("a time").parse().expect("a number");
+    assert!(answer.status() == 503 && after > 0.0 && after <= 6.0, "{after}");
+}
+
+#[test]
+fn open_request_id_is_rejected_until_its_end() {
+    let gate = Gate::default();
+    let gate_copy = gate.clone();
+    let backend = Backend::with(move |_| Reply::Delayed(gate_copy.clone(), ok("first")));
+    let (_discovery, proxy) = proxy_with(&[&backend]);
+    let mut first = proxy.client();
+    first.send(&submit("r-1", "5", "x"));
+    wait_for("the first", || backend.requests().len() == 1);
+    assert_eq!(status(proxy.client().request(&submit("r-1", "5", "y"))), 409);
+    gate.open();
+    assert_eq!(first.response().expect("a response").text(), "first");
+    assert_eq!(backend.requests().len(), 1);
+    assert_eq!(status(proxy.client().request(&submit("r-1", "5", "z"))), 200);
+}
+
+#[test]
+fn bytes_behind_a_response_are_discarded() {
+    let backend = Backend::with(|request| {
+        let answer = ok(request.id());
+        let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
+        Reply::Write(match request.id().len() % 3 {
+            0 => format!("{interim}{answer}{answer}"),
+            1 => format!("{answer}\u{1} noise"),
+            _ => answer.replace("X-Own: kept", "X-Server-Load: {not readable"),
+        })
+    });
+    let (_discovery, proxy) = proxy_with(&[&backend]);
+    let mut client = proxy.client();
+    for number in 0..60 {
+        let id = format!("r-{}{number}", "x".repeat(number % 3));
+        assert_eq!(client.request(&page(&id)).expect("a response").text(), id);
+    }
+    assert_eq!(backend.requests().len(), 60);
+}
+
+#[test]
+fn late_response_is_discarded() {
+    let gate = Gate::default();
+    let gate_copy = gate.clone();
+    let backend = Backend::with(move |request| match request.id() {
+        "r-held" => Reply::Delayed(gate_copy.clone(), ok("late")),
+        _ => Reply::Write(ok("prompt")),
+    });
+    let (_discovery, proxy) = proxy_with(&[&backend]);
+    let mut client = proxy.client();
+    assert_eq!(status(client.request(&submit("r-held", "0.5", "x"))), 502);
+    wait_for("the request", || backend.requests().len() == 1);
+    std::thread::sleep(Duration::from_millis(100)); // the failure goes out a little before the attempt ends
+    gate.open();
+    // Its connection is not used again, and the client gets the next answer and no other.
+    assert_eq!(client.request(&page("r-next")).expect("a response").text(), "prompt");
+    wait_for("the connection's end", || backend.closed() == 1);
+}
+
+#[test]
+fn cancelled_requests_are_not_sent() {
+    let gate = Gate::default();
+    let gate_copy = gate.clone();
+    let backend = Backend::with(move |_| Reply::Delayed(gate_copy.clone(), ok("")));
+    let discovery = Discovery::new();
+    discovery.publish(&all_up(&[&backend]));
+    let proxy = Proxy::start_ready(&discovery, &Setup { has_admin: true, ..Setup::default() });
+    // Enough to fill the backend's slots, so that the last ones wait in the proxy.
+    let mut clients: Vec<Client> = (0..12).map(|_| proxy.client()).collect();
+    for (number, client) in clients.iter_mut().enumerate() {
+        client.send(&submit(&format!("r-{number}"), "5", "x"));
+    }
+    wait_for("all of them", || proxy.stat("/pending") == 12);
+    wait_for("the first", || !backend.requests().is_empty());
+    for client in &mut clients {
+        client.shut_down_write();
+        assert!(client.is_closed(), "no answer is owed");
+    }
+    wait_for("their end", || proxy.stat("/pending") == 0);
+    let mut before = 0;
+    wait_for("what had been written until then", || {
+        before = proxy.stat("/upstream_requests") as usize;
+        backend.requests().len() == before
+    });
+    assert!(before < 12, "the proxy queues");
+    gate.open();
+    let mut last = proxy.client();
+    assert_eq!(status(last.request(&submit("r-last", "5", "x"))), 200);
+    assert_eq!(backend.requests().len(), before + 1);
+}
--- a/crates/cli/tests/repeats.rs
+++ b/crates/cli/tests/idempotency_window.rs
@@ -18,72 +18,75 @@
     )
 }
 
-/// A booking whose first attempt may have run, and whose repeat waits for a connection to another backend of the cell.
-struct Repeat {
+/// A booking whose first attempt may have run, and whose retry waits for a connection to another backend of the cell.
+struct PendingRetry {
     client: Client,
     /// When the first attempt had reached its backend.
     first_at: Instant,
     second: TcpListener,
-    fill: std::net::TcpStream,
+    filler: std::net::TcpStream,
     _proxy: Proxy,
     _discovery: Discovery,
 }
 
-impl Repeat {
+impl PendingRetry {
     fn new() -> Self {
         let gate = Gate::default();
-        let held = gate.clone();
-        let first = Backend::with(move |_| Deed::Parts(String::new(), held.clone(), "no HTTP".into()));
-        let (second, fill) = full_listener();
+        let gate_copy = gate.clone();
+        let first =
+            Backend::with(move |_| Reply::InParts(String::new(), gate_copy.clone(), "no HTTP".into()));
+        let (second, filler) = full_listener();
         let discovery = Discovery::new();
-        discovery.say(&list(1, true, &[host("s-0", first.address, "up", 0)]));
-        let setup = Setup { admin: true, deadline: 20_000, dial_timeout: 15_000, ..Setup::default() };
+        discovery.publish(&list(1, true, &[host("s-0", first.address, "up", 0)]));
+        let setup =
+            Setup { has_admin: true, deadline_ms: 20_000, connect_timeout_ms: 15_000, ..Setup::default() };
         let text = config(discovery.address, &setup).replace("\"window\":2500", "\"window\":1500");
-        let proxy = Proxy::start_with(&text, &setup);
+        let proxy = Proxy::start_with_config(&text, &setup);
         wait_for("/up", || proxy.is_up());
-        let mut client = Client::new(&proxy);
+        let mut client = proxy.client();
         client.send(&booking("r-1"));
-        wait_for("the first attempt", || first.seen().len() == 1);
+        wait_for("the first attempt", || first.requests().len() == 1);
         let first_at = Instant::now();
         let address = second.local_addr().expect("an address");
-        discovery.say(&list(2, false, &[host("s-1", address, "up", 0)]));
-        wait_for("two members", || proxy.figure("/members") == 2);
+        discovery.publish(&list(2, false, &[host("s-1", address, "up", 0)]));
+        wait_for("two members", || proxy.stat("/members") == 2);
         let dials = proxy.dials();
         gate.open();
         wait_for("a second dial", || proxy.dials() > dials);
-        Repeat { client, first_at, second, fill, _proxy: proxy, _discovery: discovery }
+        PendingRetry { client, first_at, second, filler, _proxy: proxy, _discovery: discovery }
     }
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_up_after_the_window_is_not_sent() {
-    let mut repeat = Repeat::new();
+fn retry_after_idempotency_window_is_not_sent() {
+    let mut retry = PendingRetry::new();
     // The system's time alone decides: the window is over, however busy the machine.
-    while repeat.first_at.elapsed() <= WINDOW {
+    while retry.first_at.elapsed() <= WINDOW {
         std::thread::sleep(Duration::from_millis(10));
     }
     // The proxy may give the connection up before it is accepted, or close it unused.
     let received = Arc::<Mutex<Vec<u8>>>::default();
-    let (into, second, fill) = (received.clone(), repeat.second, repeat.fill);
+    let into = received.clone();
+    let PendingRetry { second, filler, .. } = retry;
     std::thread::spawn(move || {
-        let late = come_up(&second, &fill);
+        let late = accept_connecting(&second, &filler);
         BufReader::new(late)
             .bytes()
             .map_while(Result::ok)
             .for_each(|byte| into.lock().expect("no panic").push(byte));
     });
-    assert_eq!(repeat.client.answer().expect("an answer").status(), 502);
+    assert_eq!(retry.client.response().expect("a response").status(), 502);
     let received = received.lock().expect("no panic");
     assert!(received.is_empty(), "{}", String::from_utf8_lossy(&received));
 }
 
 #[test]
-fn a_repeat_whose_connection_comes_up_within_the_window_is_sent() {
-    let mut repeat = Repeat::new();
-    let connection = come_up(&repeat.second, &repeat.fill);
-    assert!(repeat.first_at.elapsed() < WINDOW, "too slow a machine to tell");
+fn retry_within_idempotency_window_is_sent() {
+    let mut retry = PendingRetry::new();
+    let connection = accept_connecting(&retry.second, &retry.filler);
+    assert!(retry.first_at.elapsed() < WINDOW, "too slow a machine to tell");
     let mut reader = BufReader::new(connection);
-    assert_eq!(read_message(&mut reader).expect("the repeat").id(), "r-1");
+    assert_eq!(read_message(&mut reader).expect("the retry").id(), "r-1");
     reader.get_mut().write_all(ok("again").as_bytes()).expect("it reads");
-    assert_eq!(repeat.client.answer().expect("an answer").text(), "again");
+    assert_eq!(retry.client.response().expect("a response").text(), "again");
 }
--- a/crates/cli/tests/readiness.rs
+++ b/crates/cli/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! How soon a proxy says that it can serve, whatever discovery does meanwhile.
+//! How soon a proxy is ready, whatever discovery does meanwhile.
 mod sockets;
 
 use std::io::{BufReader, Write};
@@ -29,7 +29,7 @@
     })
 }
 
-fn overbooked() -> SocketAddr {
+fn overloaded() -> SocketAddr {
     discovery(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
         let mut stream = stream;
@@ -55,82 +55,86 @@
     })
 }
 
-/// All that discovery may do, by name.
-fn troubles() -> Vec<(&'static str, SocketAddr, Box<dyn Send>)> {
+/// All faults of discovery, by name.
+fn discovery_faults() -> Vec<(&'static str, SocketAddr, Box<dyn Send>)> {
     // Connections to it don't come up.
     let full = full_listener();
     let hangs = full.0.local_addr().expect("an address");
-    let closed = Closed::new();
+    let closed = RefusingAddress::new();
     vec![
         (DOWN, closed.address, Box::new(closed)),
         ("hangs", hangs, Box::new(full)),
         ("silent", silent(), Box::new(())),
-        ("overbooked", overbooked(), Box::new(())),
+        ("overbooked", overloaded(), Box::new(())),
         ("drip", drip(), Box::new(())),
     ]
 }
 
 /// The time from the moment at which a proxy listens until it says that it can serve.
-fn ready(proxy: &Proxy) -> Duration {
-    let begun = Instant::now();
+fn time_until_ready(proxy: &Proxy) -> Duration {
+    let started_at = Instant::now();
     wait_for("/up", || proxy.is_up());
-    begun.elapsed()
+    started_at.elapsed()
 }
 
-/// Nobody listens there, so it can't have told anything.
+/// Nobody listens there, so it can't have published anything.
 const DOWN: &str = "down";
 
 /// Sooner than any proxy without a list, whatever the machine's load; it takes half a second by itself.
-const REMEMBERED: Duration = Duration::from_secs(4);
+const CACHED_LIST_LIMIT: Duration = Duration::from_secs(4);
 
 #[test]
-fn with_a_remembered_list_a_proxy_does_not_wait_for_discovery() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let all: Vec<_> = troubles();
+fn ready_with_cached_list_without_discovery() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let all: Vec<_> = discovery_faults();
     for (name, address, _held) in &all {
-        let proxy = Proxy::start_by(*address, &Setup { known: all_up(&[&backend]), ..Setup::default() });
-        let after = ready(&proxy);
+        let proxy = Proxy::start_with_discovery_at(
+            *address,
+            &Setup { cached_list: all_up(&[&backend]), ..Setup::default() },
+        );
+        let after = time_until_ready(&proxy);
         eprintln!("remembered list, discovery {name}: ready after {after:?}");
-        assert!(after < REMEMBERED, "{name}: {after:?}");
+        assert!(after < CACHED_LIST_LIMIT, "{name}: {after:?}");
         // Where lists are pushed all that an agent has counts as known from the first moment on, and the settings' grace
         // is over by now. Only an agent that is down has nothing.
         let expected = if *name == DOWN { 200 } else { 503 };
-        let answer = Client::new(&proxy).ask(&page("r-1")).expect("an answer");
+        let answer = proxy.client().request(&page("r-1")).expect("a response");
         assert_eq!(answer.status(), expected, "{name}");
         assert_eq!(answer.header("retry-after").is_some(), expected == 503, "{name}: {answer:?}");
     }
 }
 
 #[test]
-fn where_lists_are_asked_for_a_remembered_list_is_served_from_whatever_discovery_does() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let setup = Setup { known: all_up(&[&backend]), ..Setup::default() };
-    let all: Vec<_> = troubles();
+fn polled_cached_list_is_served_whatever_discovery_does() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let setup = Setup { cached_list: all_up(&[&backend]), ..Setup::default() };
+    let all: Vec<_> = discovery_faults();
     for (name, address, _held) in &all {
         let text = config(*address, &setup).replace(r#""discovery":"pushed""#, r#""discovery":"on_request""#);
-        let proxy = Proxy::start_with(&text, &setup);
-        let after = ready(&proxy);
-        assert!(after < REMEMBERED, "{name}: {after:?}");
-        assert_eq!(Client::new(&proxy).ask(&page("r-1")).expect("an answer").status(), 200, "{name}");
+        let proxy = Proxy::start_with_config(&text, &setup);
+        let after = time_until_ready(&proxy);
+        assert!(after < CACHED_LIST_LIMIT, "{name}: {after:?}");
+        assert_eq!(proxy.client().request(&page("r-1")).expect("a response").status(), 200, "{name}");
     }
 }
 
 /// Starts a proxy that remembers nothing of use, and checks that it says in time that it can serve, then refuses.
 fn serves_without_a_list(name: &str, discovery: SocketAddr, known: &str) -> Proxy {
-    let proxy = Proxy::start_by(discovery, &Setup { known: known.into(), ..Setup::default() });
+    let proxy =
+        Proxy::start_with_discovery_at(discovery, &Setup { cached_list: known.into(), ..Setup::default() });
     assert!(!proxy.is_up(), "{name}: who comes to another proxy may be served there");
-    let after = ready(&proxy);
+    let after = time_until_ready(&proxy);
     eprintln!("{name}: ready after {after:?}");
     assert!(after < Duration::from_secs(6), "{name}: {after:?}");
-    let answer = Client::new(&proxy).ask(&page("r-1")).expect("an answer");
+    let answer = proxy.client().request(&page("r-1")).expect("a response");
     assert_eq!(answer.status(), 503, "{name}");
     assert!(answer.header("retry-after").is_some(), "{name}: {answer:?}");
     proxy
 }
 
 #[test]
-fn without_a_list_a_proxy_refuses_after_some_seconds_whatever_discovery_does() {
-    let all = troubles();
+fn proxy_without_list_rejects_after_some_seconds() {
+    let all = discovery_faults();
     thread::scope(|scope| {
         for (name, address, _held) in &all {
             let name = format!("no list, discovery {name}");
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn a_remembered_list_of_no_use_is_as_good_as_none() {
+fn unusable_cached_list_is_ignored() {
     let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
     let useless = [
         ("no hosts", list(1, true, &[])),
@@ -155,7 +159,7 @@
     thread::scope(|scope| {
         for (name, known) in &useless {
             scope.spawn(move || {
-                let closed = Closed::new();
+                let closed = RefusingAddress::new();
                 serves_without_a_list(name, closed.address, known)
             });
         }
@@ -163,13 +167,15 @@
 }
 
 #[test]
-fn discovery_that_comes_back_is_heard_by_a_proxy_without_a_list() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let closed = Closed::new();
+fn recovered_discovery_is_used_by_proxy_without_list() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let closed = RefusingAddress::new();
     let proxy = serves_without_a_list("discovery down for a while", closed.address, "null");
-    let begun = Instant::now();
-    let discovery = Discovery::on(closed.open());
-    discovery.say(&all_up(&[&backend]));
-    wait_for("service", || Client::new(&proxy).ask(&page("r-2")).is_some_and(|m| m.status() == 200));
-    eprintln!("discovery back: served after {:?}", begun.elapsed());
+    let started_at = Instant::now();
+    let discovery = Discovery::on_listener(closed.open());
+    discovery.publish(&all_up(&[&backend]));
+    wait_for("service", || {
+        proxy.client().request(&page("r-2")).is_some_and(|response| response.status() == 200)
+    });
+    eprintln!("discovery back: served after {:?}", started_at.elapsed());
 }
--- /dev/null
+++ b/crates/cli/tests/remaining_time.rs
@@ -0,0 +1,93 @@
+//! Requests that wait in the proxy, in its queue or behind others on one connection: backends are sent the remaining time.
+mod sockets;
+
+use std::time::{Duration, Instant};
+
+use sockets::*;
+
+/// By how much the time that a backend is sent may exceed what the client has left, in seconds.
+const TOLERANCE: f64 = 0.15;
+/// More than is read of a body before its request is queued, and less than the system holds of one.
+const LONG_BODY: usize = 200 << 10;
+
+/// A proxy with one backend, which delays requests named `r-held` until the gate opens.
+fn proxy_with_delays(gate: &Gate) -> (Backend, Discovery, Proxy) {
+    let gate = gate.clone();
+    let backend = Backend::with(move |request| match request.id().starts_with("r-held") {
+        true => Reply::Delayed(gate.clone(), ok("held")),
+        false => Reply::Write(ok("prompt")),
+    });
+    let discovery = Discovery::new();
+    discovery.publish(&list(1, true, &[host("s-0", backend.address, "up", 0)]));
+    let setup = Setup { has_admin: true, deadline_ms: 60_000, ..Setup::default() };
+    let proxy = Proxy::start_ready(&discovery, &setup);
+    (backend, discovery, proxy)
+}
+
+/// Requests that the backend delays: more than it has slots, so that what follows waits.
+fn fill_slots(proxy: &Proxy) -> Vec<Client> {
+    let held = |number| {
+        let mut client = proxy.client();
+        client.send(&submit(&format!("r-held-{number}"), "60", "x"));
+        client
+    };
+    let clients = (0..12).map(held).collect();
+    wait_for("requests that wait", || proxy.waiting() > 0);
+    clients
+}
+
+/// The remaining time that a backend was sent with a request, in seconds.
+fn remaining_time(backend: &Backend, id: &str) -> f64 {
+    let seen = backend.requests();
+    let request = seen.iter().find(|request| request.id() == id).expect("it came");
+    request.header("x-timeout").and_then(|seconds| seconds.parse().ok()).expect("a time")
+}
+
+#[test]
+fn waiting_request_with_long_body_is_rejected_in_time() {
+    let gate = Gate::default();
+    let (backend, _discovery, proxy) = proxy_with_delays(&gate);
+    let _held = fill_slots(&proxy);
+    let mut client = proxy.client();
+    client.send(&submit("r-long", "1", &"x".repeat(LONG_BODY)));
+    let sent_at = Instant::now();
+    let answer = client.response().expect("an answer, while the backend holds all that it has");
+    assert_eq!(answer.status(), 503);
+    assert!(answer.header("retry-after").is_some());
+    assert!(sent_at.elapsed() < Duration::from_secs(10), "{:?}", sent_at.elapsed());
+    assert!(backend.requests().iter().all(|request| request.id() != "r-long"));
+    gate.open();
+}
+
+#[test]
+fn waiting_request_with_long_body_sends_its_remaining_time() {
+    let gate = Gate::default();
+    let (backend, _discovery, proxy) = proxy_with_delays(&gate);
+    let _held = fill_slots(&proxy);
+    let mut client = proxy.client();
+    client.send(&submit("r-long", "20", &"x".repeat(LONG_BODY)));
+    let sent_at = Instant::now();
+    std::thread::sleep(Duration::from_millis(800));
+    let waited = sent_at.elapsed().as_secs_f64();
+    gate.open();
+    assert_eq!(client.response().expect("a response").status(), 200);
+    let remaining = remaining_time(&backend, "r-long");
+    assert!(remaining <= 20.0 - waited + TOLERANCE, "{remaining} s after {waited} s");
+}
+
+#[test]
+fn pipelined_request_sends_its_remaining_time() {
+    let gate = Gate::default();
+    let (backend, _discovery, proxy) = proxy_with_delays(&gate);
+    let mut client = proxy.client();
+    client.send(&(submit("r-held", "20", "x") + &submit("r-behind", "20", "x")));
+    let sent_at = Instant::now();
+    wait_for("the first request", || backend.requests().len() == 1);
+    std::thread::sleep(Duration::from_millis(800));
+    let waited = sent_at.elapsed().as_secs_f64();
+    gate.open();
+    assert_eq!(client.response().expect("a response").text(), "held");
+    assert_eq!(client.response().expect("a response").text(), "prompt");
+    let remaining = remaining_time(&backend, "r-behind");
+    assert!(remaining <= 20.0 - waited + TOLERANCE, "{remaining} s after {waited} s");
+}
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals that come before the proxy runs. A FIFO for a configuration holds the process in its first read.
+//! Signals that come before the proxy runs. A FIFO as its configuration keeps the process in its first read.
 mod sockets;
 
 use std::fs::{File, OpenOptions};
@@ -9,7 +9,7 @@
 use sockets::*;
 
 /// A process that has begun to read its configuration, the end to write that to, and the file.
-fn held() -> (Child, File, PathBuf) {
+fn spawn_in_first_read() -> (Child, File, PathBuf) {
     let file = config_file("");
     std::fs::remove_file(&file).expect("just written");
     assert!(Command::new("mkfifo").arg(&file).status().expect("mkfifo runs").success());
@@ -34,29 +34,30 @@
 }
 
 #[test]
-fn a_sighup_before_the_first_reading_is_over_leads_to_one_more() {
-    let backend = Backend::new(Deed::Write(ok("")));
-    let (old, new) = (Discovery::new(), Discovery::new());
-    new.say(&all_up(&[&backend]));
-    let setup = Setup { admin: true, ..Setup::default() };
-    let (child, mut writer, file) = held();
+fn sighup_during_first_read_leads_to_a_second() {
+    let backend = Backend::new(Reply::Write(ok("")));
+    let old = Discovery::new();
+    let new = Discovery::new();
+    new.publish(&all_up(&[&backend]));
+    let setup = Setup { has_admin: true, ..Setup::default() };
+    let (child, mut writer, file) = spawn_in_first_read();
     kill(&child, "-HUP");
     replace(&file, &config(new.address, &setup));
     write!(writer, "{}", config(old.address, &setup)).expect("it reads");
     drop(writer);
-    let mut proxy = Proxy::of(child, file);
+    let mut proxy = Proxy::from_child(child, file);
     // Only the later one names a discovery that tells its list.
     wait_for("/up", || proxy.is_up());
-    assert_eq!(Client::new(&proxy).ask(&page("r-1")).expect("an answer").status(), 200);
-    assert_eq!(proxy.figure("/config_reloads"), 1);
+    assert_eq!(proxy.client().request(&page("r-1")).expect("a response").status(), 200);
+    assert_eq!(proxy.stat("/config_reloads"), 1);
     proxy.terminate();
     assert!(proxy.wait().success());
 }
 
 #[test]
-fn a_sigterm_before_the_first_reading_is_over_ends_the_process() {
+fn sigterm_during_first_read_ends_the_process() {
     for signal in ["-TERM", "-INT"] {
-        let (mut child, writer, file) = held();
+        let (mut child, writer, file) = spawn_in_first_read();
         kill(&child, signal);
         let mut status = None;
         wait_for("its end", || {
--- /dev/null
+++ b/crates/cli/tests/sockets/proxy.rs
@@ -0,0 +1,235 @@
+//! A proxy process.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::os::fd::OwnedFd;
+use std::path::PathBuf;
+use std::process::{Child, Command, ExitStatus, Stdio};
+use std::sync::{Arc, Mutex};
+use std::thread;
+
+use super::client::Client;
+use super::discovery::Discovery;
+use super::message::{Message, read_message};
+use super::setup::{Setup, config, config_file};
+use super::{LIMIT, wait_for};
+
+/// A running proxy.
+pub struct Proxy {
+    child: Child,
+    pub address: SocketAddr,
+    pub log: Arc<Mutex<String>>,
+    file: PathBuf,
+}
+
+/// The command that runs a proxy, through the shell if a limit or a passed socket is wanted: the only way without system
+/// calls.
+fn serve_command(setup: &Setup) -> Command {
+    let program = env!("CARGO_BIN_EXE_leadrelay");
+    if let Some((listener, folder)) = &setup.passed_socket {
+        let mut command = Command::new("sh");
+        // Descriptor 3, as the platform passes it.
+        command.args(["-c", "exec 3<&0 </dev/null; exec \"$0\" serve", program]);
+        command.env("TMPDIR", folder).env("NODE_PASSED_SOCKET", "3");
+        command.stdin(OwnedFd::from(listener.try_clone().expect("a handle")));
+        return command;
+    }
+    if let Some(limit) = setup.descriptor_limit {
+        let mut command = Command::new("sh");
+        command.args(["-c", &format!("ulimit -n {limit}; exec \"$0\" serve"), program]);
+        return command;
+    }
+    let mut command = Command::new(program);
+    command.arg("serve");
+    command
+}
+
+/// The value of `field=` in a log.
+fn log_field(log: &str, field: &str) -> Option<String> {
+    let (_, rest) = log.split_once(field)?;
+    rest.split_whitespace().next().map(str::to_owned)
+}
+
+impl Proxy {
+    pub fn start(discovery: &Discovery, setup: &Setup) -> Self {
+        Proxy::start_with_discovery_at(discovery.address, setup)
+    }
+
+    /// Starts a proxy whose discovery is, or is not, at this address.
+    pub fn start_with_discovery_at(discovery: SocketAddr, setup: &Setup) -> Self {
+        Proxy::start_with_config(&config(discovery, setup), setup)
+    }
+
+    /// Starts a proxy with a configuration of the test's own.
+    pub fn start_with_config(text: &str, setup: &Setup) -> Self {
+        let file = config_file(text);
+        let mut command = serve_command(setup);
+        let child = command.env("NODE_CONFIG", &file).stderr(Stdio::piped()).spawn();
+        Proxy::from_child(child.expect("the proxy starts"), file)
+    }
+
+    /// Waits until a process listens whose log is piped.
+    pub fn from_child(mut child: Child, file: PathBuf) -> Self {
+        let mut lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+        let log = Arc::new(Mutex::new(String::new()));
+        let address = lines.by_ref().map_while(Result::ok).find_map(|line| {
+            log.lock().expect("no panic").push_str(&format!("{line}\n"));
+            log_field(&line, "listen=").map(|address| address.parse().expect("an address"))
+        });
+        let log_copy = log.clone();
+        thread::spawn(move || {
+            for line in lines.map_while(Result::ok) {
+                eprintln!("{line}");
+                log_copy.lock().expect("no panic").push_str(&(line + "\n"));
+            }
+        });
+        Proxy { child, address: address.expect("the proxy listens"), log, file }
+    }
+
+    /// Starts a proxy and waits until it is ready.
+    pub fn start_ready(discovery: &Discovery, setup: &Setup) -> Self {
+        let proxy = Proxy::start(discovery, setup);
+        wait_for("/up", || proxy.is_up());
+        proxy
+    }
+
+    /// A new connection of a client.
+    pub fn client(&self) -> Client {
+        Client::connect(self.address)
+    }
+
+    /// Whether its readiness path says that it takes clients.
+    pub fn is_up(&self) -> bool {
+        let response = self.client().request("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+        response.is_some_and(|response| response.status() == 200)
+    }
+
+    fn log_field(&self, field: &str) -> Option<String> {
+        log_field(&self.log.lock().expect("no panic"), field)
+    }
+
+    /// Waits until the log has the admin address.
+    pub fn admin_address(&self) -> SocketAddr {
+        let mut address = None;
+        wait_for("the admin address", || {
+            address = self.log_field("admin=");
+            address.is_some()
+        });
+        address.and_then(|address| address.parse().ok()).expect("an address")
+    }
+
+    /// A new connection to the admin address.
+    pub fn admin_connection(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.admin_address()).expect("the admin address accepts");
+        stream.set_read_timeout(Some(LIMIT)).expect("a time-out");
+        stream
+    }
+
+    /// A call to the admin address, whose connection has to end with it.
+    pub fn admin_call(&self, method_and_path: &str) -> Message {
+        let mut connection = BufReader::new(self.admin_connection());
+        write!(connection.get_mut(), "{method_and_path} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+            .expect("it reads");
+        let response = read_message(&mut connection).expect("a response");
+        assert!(matches!(connection.read(&mut [0; 1]), Ok(0)), "one call to a connection");
+        response
+    }
+
+    /// A number of the statistics, by its JSON pointer.
+    pub fn stat(&self, path: &str) -> u64 {
+        let stats: serde_json::Value =
+            serde_json::from_slice(&self.admin_call("GET /stats").body).expect("JSON");
+        stats.pointer(path).and_then(|value| value.as_u64()).unwrap_or_else(|| panic!("no {path} in {stats}"))
+    }
+
+    /// How many connections to backends it has begun to open.
+    pub fn dials(&self) -> u64 {
+        self.metric("leadrelay_backend_dials_total")
+    }
+
+    /// How many requests wait in the proxy's queue.
+    pub fn waiting(&self) -> u64 {
+        self.metric("leadrelay_requests_waiting")
+    }
+
+    fn metric(&self, name: &str) -> u64 {
+        let text = self.admin_call("GET /metrics").text();
+        let line = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+        line.expect("a line").parse().expect("a number")
+    }
+
+    pub fn terminate(&self) {
+        self.signal("-TERM");
+    }
+
+    /// Replaces the configuration and sends SIGHUP.
+    pub fn reload(&self, text: &str) {
+        std::fs::write(&self.file, text).expect("a file");
+        self.signal("-HUP");
+    }
+
+    /// Stops the process until `resume`. The signal takes effect some time after it has been sent, so this waits until
+    /// all threads have stopped.
+    pub fn pause(&self) {
+        self.signal("-STOP");
+        wait_for("a stop", || self.states().iter().all(|state| *state == 'T'));
+    }
+
+    /// The states of its threads, as the system names them.
+    fn states(&self) -> Vec<char> {
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.child.id())).expect("the process runs");
+        let state = |task: std::fs::DirEntry| {
+            let text = std::fs::read_to_string(task.path().join("stat")).ok()?;
+            text.rsplit_once(") ")?.1.chars().next()
+        };
+        tasks.filter_map(|task| state(task.ok()?)).collect()
+    }
+
+    pub fn resume(&self) {
+        self.signal("-CONT");
+    }
+
+    fn signal(&self, signal: &str) {
+        let pid = self.child.id().to_string();
+        assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
+    }
+
+    /// Resident memory in KiB.
+    pub fn resident_kib(&self) -> usize {
+        let path = format!("/proc/{}/status", self.child.id());
+        let status = std::fs::read_to_string(path).expect("the process runs");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a line");
+        line.trim().trim_end_matches(" kB").parse().expect("a number")
+    }
+
+    /// How many descriptors the process holds.
+    pub fn descriptor_count(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the process runs").count()
+    }
+
+    /// Whether the log contains a text.
+    pub fn log_contains(&self, text: &str) -> bool {
+        self.log.lock().expect("no panic").contains(text)
+    }
+
+    pub fn wait(&mut self) -> ExitStatus {
+        let mut status = None;
+        wait_for("the proxy's end", || {
+            status = self.child.try_wait().expect("a child");
+            status.is_some()
+        });
+        status.expect("just seen")
+    }
+
+    pub fn is_running(&mut self) -> bool {
+        self.child.try_wait().expect("a child").is_none()
+    }
+}
+
+impl Drop for Proxy {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+        let _ = std::fs::remove_file(&self.file);
+    }
+}
--- a/crates/cli/tests/sockets/system.rs
+++ b/crates/cli/tests/sockets/system.rs
@@ -12,7 +12,7 @@
 const INET: u8 = 2;
 const TCP: u8 = 6;
 const ANY_COOKIE: [u8; 8] = [0xff; 8];
-/// Bytes of a netlink header and of a request, and where an answer holds the state and the length of the receive queue.
+/// Bytes of a netlink header and of a request, and where a response has the state and the length of the receive queue.
 const HEADER: usize = 16;
 const LENGTH: u32 = HEADER as u32 + 56;
 const STATE: usize = HEADER + 1;
--- a/crates/sim-adapter/tests/adapter.rs
+++ b/crates/sim-adapter/tests/adapter.rs
@@ -13,15 +13,15 @@
     stdin.write_all(input.as_bytes()).unwrap();
     drop(stdin);
     let out = child.wait_with_output().unwrap();
-    let text = |b: Vec<u8>| String::from_utf8(b).unwrap();
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).unwrap();
     (out.status.success(), text(out.stdout), text(out.stderr))
 }
 
 const PARAMS: &str = r#"{"classes":[{"name":"page","effect":"idempotent","promise":300,"deadline":900},{"name":"odd","effect":"newfangled","promise":300,"deadline":900}],"nInstances":1,"myNumber":0,"unheard":{"of":[1]},"zone":"a","zones":["a"],"flavors":["k"],"rules":{"drainGrace":100,"cold":1000,"fall":500,"fallMultiple":3,"startCapacity":0.5},"ceilings":{"maxAttempts":3,"secondCopies":true}}"#;
 
-fn start(i: u32) -> String {
+fn start(instance: u32) -> String {
     format!(
-        "UP\ti={i}\trandomSeed=5\tparams={PARAMS}\nTOPOLOGY\ti={i}\tscope=cached\tstamp=1\tnodesList=2\n\
+        "UP\ti={instance}\trandomSeed=5\tparams={PARAMS}\nTOPOLOGY\ti={instance}\tscope=cached\tstamp=1\tnodesList=2\n\
          ITEM\tbackend=b.one\tfailureDomain=a\tshape=k\tcell=0\tstate=up\trating=1\n\
          ITEM\tbackend=b.two\tfailureDomain=a\tshape=k\tcell=0\tstate=up\trating=1\n"
     )
@@ -80,12 +80,15 @@
 
 #[test]
 fn restarted_instance_is_empty_and_others_are_unaffected() {
-    let arrival = |i: u32, r: &str| format!("ARRIVAL\ti={i}\trid={r}\ttierClass=page\ttimeBudget=900\n");
+    let arrival = |instance: u32, request: &str| {
+        format!("ARRIVAL\ti={instance}\trid={request}\ttierClass=page\ttimeBudget=900\n")
+    };
     let alone = format!("FRAME\tts=10\n{}{}GO\n", start(1), arrival(1, "r-1"));
     let both =
         format!("FRAME\tts=10\n{}{}{}{}GO\n", start(0), start(1), arrival(0, "r-0"), arrival(1, "r-1"));
-    let of_one =
-        |out: &str| out.lines().filter(|l| l.contains("\ti=1\t")).map(str::to_owned).collect::<Vec<_>>();
+    let of_one = |out: &str| {
+        out.lines().filter(|line| line.contains("\ti=1\t")).map(str::to_owned).collect::<Vec<_>>()
+    };
     assert_eq!(of_one(&run_adapter(&alone).1), of_one(&run_adapter(&both).1));
     let again = format!(
         "{alone}FRAME\tts=20\nCRASH_NOW\ti=1\n{}OUTCOME\ti=1\trid=r-1\tbackend=b.one\tsendNo=0\treason=completed\nGO\n",
