--- a/crates/cli/tests/bodies.rs
+++ b/crates/cli/tests/bodies.rs
@@ -17,8 +17,8 @@
 
 /// A backend that writes the first half of a long response, and the second once a gate opens.
 fn in_halves(gate: &Gate) -> Backend {
-    let answer = ok(&"x".repeat(LONG_BODY));
-    let (first, rest) = answer.split_at(answer.len() - LONG_BODY / 2);
+    let response = ok(&"x".repeat(LONG_BODY));
+    let (first, rest) = response.split_at(response.len() - LONG_BODY / 2);
     Backend::new(Reply::InParts(first.into(), gate.clone(), rest.into()))
 }
 
@@ -44,8 +44,8 @@
     for form in forms {
         let backend = Backend::new(Reply::WriteAndClose(form.into()));
         let (_discovery, proxy) = proxy_with_setup(&[&backend], Setup::default());
-        let answer = proxy.client().request(&submit("r-1", "5", "x")).expect("a response");
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "its end ends it"), "{form}");
+        let response = proxy.client().request(&submit("r-1", "5", "x")).expect("a response");
+        assert_eq!((response.status(), response.text().as_str()), (200, "its end ends it"), "{form}");
     }
 }
 
@@ -77,8 +77,8 @@
 
 #[test]
 fn broken_streamed_response_is_not_retried() {
-    let answer = ok(&"x".repeat(LONG_BODY));
-    let cut = answer[..answer.len() - 1].to_owned();
+    let response = ok(&"x".repeat(LONG_BODY));
+    let cut = response[..response.len() - 1].to_owned();
     for cut in [
         cut,
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n{}", "x".repeat(LONG_BODY)),
--- a/crates/cli/tests/client_requests.rs
+++ b/crates/cli/tests/client_requests.rs
@@ -116,7 +116,7 @@
         let end = client.last_response(); // nothing where nothing came, else an error, and then the end
         assert_eq!(end, (!sent.is_empty()).then_some((408, true)), "{sent}");
     }
-    // A later request that never ends, on a connection that has had an answer.
+    // A later request that never ends, on a connection that has carried a response.
     let mut client = proxy.client();
     assert_eq!(status(client.request(&page("r-2"))), 200);
     client.send("GET /pa");
--- a/crates/cli/tests/discarded_responses.rs
+++ b/crates/cli/tests/discarded_responses.rs
@@ -63,8 +63,8 @@
             }
             let new = accept_request(&backend, "r-2");
             write(&new, &ok("the second"));
-            let answer = client.response().expect("a response");
-            assert_eq!((answer.status(), answer.text().as_str()), (200, "the second"), "{moment:?}");
+            let response = client.response().expect("a response");
+            assert_eq!((response.status(), response.text().as_str()), (200, "the second"), "{moment:?}");
             assert!(read_message(&mut old).is_none(), "{moment:?}: nothing more goes to the old one");
         }
     }
@@ -84,8 +84,8 @@
     // The backend has a part of the second request while its client has not sent all.
     std::io::BufRead::fill_buf(&mut old).expect("first bytes");
     write(&old, &ok("the first once more"));
-    let answer = client.response().expect("a response");
-    assert_ne!(answer.status(), 200, "{}", answer.text());
+    let response = client.response().expect("a response");
+    assert_ne!(response.status(), 200, "{}", response.text());
     let mut rest = Vec::new();
     let _ = std::io::Read::read_to_end(&mut old, &mut rest); // it may end as a reset
     assert!(rest.len() < 2_000_000, "it never becomes whole");
@@ -109,6 +109,6 @@
     proxy.pause();
     drop(accept_connecting(&slow, &full));
     proxy.resume();
-    let answer = client.response().expect("a response");
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "the other's"));
+    let response = client.response().expect("a response");
+    assert_eq!((response.status(), response.text().as_str()), (200, "the other's"));
 }
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -1,97 +1,11 @@
 //! Discovery that moves, restarts, breaks off or is overloaded, where lists are polled.
 mod sockets;
 
-use std::io::{BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::{Arc, Mutex};
+use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
-use sockets::{
-    Backend, Message, Proxy, RefusingAddress, Reply, Setup, config, full_listener, host, list, ok, page,
-    read_message, wait_for,
-};
-
-/// What a scripted discovery does with a call.
-enum Response {
-    /// Waits, then sends these lines and keeps the watch open.
-    Send(Duration, Vec<String>),
-    /// Sends these lines and ends the watch.
-    End(Vec<String>),
-    /// Sends these lines and nothing more, and keeps the watch open.
-    Silence(Vec<String>),
-    /// Answers 503.
-    Reject,
-}
-
-/// Calls by when they came and their first lines.
-type Calls = Arc<Mutex<Vec<(Instant, String)>>>;
-
-/// A discovery whose every call, counted from 0, goes by a script.
-struct Scripted {
-    address: SocketAddr,
-    calls: Calls,
-}
-
-impl Scripted {
-    fn new(script: impl Fn(usize) -> Response + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let calls = Calls::default();
-        let seen = calls.clone();
-        let script = Arc::new(script);
-        thread::spawn(move || {
-            for stream in listener.incoming() {
-                let seen = seen.clone();
-                let script = script.clone();
-                thread::spawn(move || serve(stream.expect("a connection"), &seen, &*script));
-            }
-        });
-        Scripted { address, calls }
-    }
-
-    fn lines(&self) -> Vec<String> {
-        self.calls.lock().expect("no panic").iter().map(|(_, line)| line.clone()).collect()
-    }
-
-    fn count(&self) -> usize {
-        self.calls.lock().expect("no panic").len()
-    }
-}
-
-fn serve(mut stream: TcpStream, calls: &Calls, script: &dyn Fn(usize) -> Response) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
-    let Some(request) = read_message(&mut reader) else { return };
-    let number = {
-        let mut calls = calls.lock().expect("no panic");
-        calls.push((Instant::now(), request.first_line));
-        calls.len() - 1
-    };
-    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let chunk = |line: &String| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-    let chunks = |lines: &[String]| lines.iter().map(chunk).collect::<String>();
-    match script(number) {
-        Response::Reject => {
-            let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-        }
-        Response::Silence(lines) => {
-            let head = if lines.is_empty() { "" } else { head };
-            let _ = stream.write_all(format!("{head}{}", chunks(&lines)).as_bytes());
-            let _ = reader.read(&mut [0]); // until the proxy closes it
-        }
-        Response::End(lines) => {
-            let _ = stream.write_all(format!("{head}{}0\r\n\r\n", chunks(&lines)).as_bytes());
-        }
-        Response::Send(wait, lines) => {
-            thread::sleep(wait);
-            let _ = stream.write_all(format!("{head}{}", chunks(&lines)).as_bytes());
-            // Empty lines for as long as somebody listens.
-            while stream.write_all(b"1\r\n\n\r\n").is_ok() {
-                thread::sleep(Duration::from_millis(500));
-            }
-        }
-    }
-}
+use sockets::*;
 
 /// A proxy that polls its lists.
 fn polling_proxy(address: SocketAddr, known: &str) -> (String, Proxy) {
@@ -123,13 +37,13 @@
 fn watch_ended_after_move_is_reopened() {
     let backend = Backend::new(Reply::Write(ok("")));
     let first = list_of_one(1, true, &backend, "up");
-    let old = Scripted::new(move |_| Response::Send(Duration::ZERO, vec![first.clone()]));
+    let old = ScriptedDiscovery::new(move |_| ScriptedResponse::Send(Duration::ZERO, vec![first.clone()]));
     let full = list_of_one(1, true, &backend, "up");
     let drain = list_of_one(2, false, &backend, "draining");
     // The first watch after the move gets the list and ends; the next one gets the drain.
-    let new = Scripted::new(move |call| match call {
-        0 => Response::End(vec![full.clone()]),
-        _ => Response::Send(Duration::ZERO, vec![drain.clone()]),
+    let new = ScriptedDiscovery::new(move |call| match call {
+        0 => ScriptedResponse::End(vec![full.clone()]),
+        _ => ScriptedResponse::Send(Duration::ZERO, vec![drain.clone()]),
     });
     let (text, proxy) = polling_proxy(old.address, "null");
     wait_for("/up", || proxy.is_up());
@@ -144,11 +58,11 @@
 fn failed_first_watch_after_move_is_reopened() {
     let backend = Backend::new(Reply::Write(ok("")));
     let first = list_of_one(1, true, &backend, "up");
-    let old = Scripted::new(move |_| Response::Send(Duration::ZERO, vec![first.clone()]));
+    let old = ScriptedDiscovery::new(move |_| ScriptedResponse::Send(Duration::ZERO, vec![first.clone()]));
     let drain = list_of_one(1, true, &backend, "draining");
-    let new = Scripted::new(move |call| match call {
-        0 | 1 => Response::Reject,
-        _ => Response::Send(Duration::ZERO, vec![drain.clone()]),
+    let new = ScriptedDiscovery::new(move |call| match call {
+        0 | 1 => ScriptedResponse::Reject,
+        _ => ScriptedResponse::Send(Duration::ZERO, vec![drain.clone()]),
     });
     let (text, proxy) = polling_proxy(old.address, "null");
     wait_for("/up", || proxy.is_up());
@@ -162,7 +76,9 @@
     let backend = Backend::new(Reply::Write(ok("")));
     let line = list_of_one(1, true, &backend, "up");
     // A service that answers whoever has waited for 1.6 s, and nobody sooner.
-    let busy = Scripted::new(move |_| Response::Send(Duration::from_millis(1600), vec![line.clone()]));
+    let busy = ScriptedDiscovery::new(move |_| {
+        ScriptedResponse::Send(Duration::from_millis(1600), vec![line.clone()])
+    });
     let (_, proxy) = polling_proxy(busy.address, "null");
     wait_for("/up", || proxy.is_up());
     assert_eq!(busy.count(), 1, "its turn came, as nobody had given it up");
@@ -174,9 +90,9 @@
     let backend = Backend::new(Reply::Write(ok("")));
     let up = list_of_one(41, true, &backend, "up");
     let drain = list_of_one(3, true, &backend, "draining");
-    let restarted = Scripted::new(move |call| match call {
-        0 => Response::End(vec![up.clone()]),
-        _ => Response::Send(Duration::ZERO, vec![drain.clone()]),
+    let restarted = ScriptedDiscovery::new(move |call| match call {
+        0 => ScriptedResponse::End(vec![up.clone()]),
+        _ => ScriptedResponse::Send(Duration::ZERO, vec![drain.clone()]),
     });
     let (_, proxy) = polling_proxy(restarted.address, "null");
     wait_for("/up", || proxy.is_up());
@@ -190,10 +106,10 @@
     let up = list_of_one(41, true, &backend, "up");
     let changes = list(3, false, &[]);
     let full = list_of_one(3, true, &backend, "draining");
-    let restarted = Scripted::new(move |call| match call {
-        0 => Response::End(vec![up.clone()]),
-        1 => Response::Send(Duration::ZERO, vec![changes.clone()]),
-        _ => Response::Send(Duration::ZERO, vec![full.clone()]),
+    let restarted = ScriptedDiscovery::new(move |call| match call {
+        0 => ScriptedResponse::End(vec![up.clone()]),
+        1 => ScriptedResponse::Send(Duration::ZERO, vec![changes.clone()]),
+        _ => ScriptedResponse::Send(Duration::ZERO, vec![full.clone()]),
     });
     let (_, proxy) = polling_proxy(restarted.address, "null");
     wait_for("/up", || proxy.is_up());
@@ -204,8 +120,10 @@
 
 /// After this time a change counts as known that discovery could have published.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
+
 /// The same after a move.
 const NOTIFICATION_TIMEOUT_AFTER_MOVE: Duration = Duration::from_secs(4);
+
 /// The grace of the test's settings after a drain counts as known, and the slack of the rule.
 const GRACE: Duration = Duration::from_millis(550);
 
@@ -217,9 +135,9 @@
         number += 1;
         let sent = Instant::now();
         let text = page(&format!("r-until-{number}")).replace("X-Timeout: 5", "X-Timeout: 0.3");
-        let answer = proxy.client().request(&text).expect("a response");
-        if answer.status() != 200 {
-            return (last, answer);
+        let response = proxy.client().request(&text).expect("a response");
+        if response.status() != 200 {
+            return (last, response);
         }
         last = sent;
         assert!(last.elapsed() < Duration::from_secs(30));
@@ -232,9 +150,9 @@
     let backend = Backend::new(Reply::Write(ok("")));
     let line = list_of_one(1, true, &backend, "up");
     // The first watch falls silent right after its list; later calls are accepted and never answered.
-    let silent = Scripted::new(move |call| match call {
-        0 => Response::Silence(vec![line.clone()]),
-        _ => Response::Silence(Vec::new()),
+    let silent = ScriptedDiscovery::new(move |call| match call {
+        0 => ScriptedResponse::Silence(vec![line.clone()]),
+        _ => ScriptedResponse::Silence(Vec::new()),
     });
     let (_, proxy) = polling_proxy(silent.address, "null");
     wait_for("/up", || proxy.is_up());
@@ -274,7 +192,7 @@
 fn sends_end_after_move_to_silent_discovery() {
     let backend = Backend::new(Reply::Write(ok("")));
     let first = list_of_one(1, true, &backend, "up");
-    let old = Scripted::new(move |_| Response::Send(Duration::ZERO, vec![first.clone()]));
+    let old = ScriptedDiscovery::new(move |_| ScriptedResponse::Send(Duration::ZERO, vec![first.clone()]));
     // Connections to it don't come up.
     let new = full_listener();
     let address = new.0.local_addr().expect("an address");
@@ -313,9 +231,9 @@
     let new = Backend::new(Reply::Write(ok("new")));
     let first = vec![list_of_one(1, true, &old, "up"), broken];
     let next = vec![list(3, true, &[host("s-new", new.address, "up", 0)])];
-    let discovery = Scripted::new(move |call| match call {
-        0 => Response::Send(Duration::ZERO, first.clone()),
-        _ => Response::Send(Duration::from_millis(1500), next.clone()),
+    let discovery = ScriptedDiscovery::new(move |call| match call {
+        0 => ScriptedResponse::Send(Duration::ZERO, first.clone()),
+        _ => ScriptedResponse::Send(Duration::from_millis(1500), next.clone()),
     });
     let (_, proxy) = polling_proxy(discovery.address, "null");
     let log = || proxy.log.lock().expect("no panic").clone();
--- a/crates/cli/tests/endpoint_list.rs
+++ b/crates/cli/tests/endpoint_list.rs
@@ -61,7 +61,7 @@
     let gone = host("s-0", old.address, "removed", 0);
     discovery.reset_watches_and_publish(&list(2, false, &[gone, host("s-new", new.address, "up", 0)]));
     wait_for("the new list", || {
-        proxy.client().request(&page("r-1")).is_some_and(|answer| answer.text() == "new")
+        proxy.client().request(&page("r-1")).is_some_and(|response| response.text() == "new")
     });
 }
 
--- a/crates/cli/tests/forwarding.rs
+++ b/crates/cli/tests/forwarding.rs
@@ -13,9 +13,9 @@
     let request = "POST /booking/7?sid=a%20b&x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Request-ID: r-1\r\n\
         X-Tenant-Id: acme\r\nX-Timeout: 3.5\r\nIdempotency-Key: k-1\r\nConnection: keep-alive, X-Hop\r\n\
         X-Hop: 1\r\nContent-Length: 4\r\n\r\nbody";
-    let answer = client.request(request).expect("a response");
-    assert_eq!((answer.status(), answer.text().as_str()), (200, "the answer"));
-    assert_eq!(answer.header("x-own"), Some("kept"));
+    let response = client.request(request).expect("a response");
+    assert_eq!((response.status(), response.text().as_str()), (200, "the answer"));
+    assert_eq!(response.header("x-own"), Some("kept"));
     let seen = &backend.requests()[0];
     assert_eq!(seen.first_line, "POST /booking/7?sid=a%20b&x=1 HTTP/1.1");
     assert_eq!(
@@ -35,9 +35,9 @@
 fn rejection_has_retry_after() {
     let backend = Backend::new(Reply::Write(empty("503 Busy\r\nX-Not-Processed: 1")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
-    let answer = proxy.client().request(&submit("r-1", "5", "x")).expect("a response");
-    let after: f64 = answer.header("retry-after").expect("a time").parse().expect("a number");
-    assert!(answer.status() == 503 && after > 0.0 && after <= 6.0, "{after}");
+    let response = proxy.client().request(&submit("r-1", "5", "x")).expect("a response");
+    let after: f64 = response.header("retry-after").expect("a time").parse().expect("a number");
+    assert!(response.status() == 503 && after > 0.0 && after <= 6.0, "{after}");
 }
 
 #[test]
@@ -59,12 +59,12 @@
 #[test]
 fn bytes_behind_a_response_are_discarded() {
     let backend = Backend::with(|request| {
-        let answer = ok(request.id());
+        let response = ok(request.id());
         let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
         Reply::Write(match request.id().len() % 3 {
-            0 => format!("{interim}{answer}{answer}"),
-            1 => format!("{answer}\u{1} noise"),
-            _ => answer.replace("X-Own: kept", "X-Server-Load: {not readable"),
+            0 => format!("{interim}{response}{response}"),
+            1 => format!("{response}\u{1} noise"),
+            _ => response.replace("X-Own: kept", "X-Server-Load: {not readable"),
         })
     });
     let (_discovery, proxy) = proxy_with(&[&backend]);
@@ -90,7 +90,7 @@
     wait_for("the request", || backend.requests().len() == 1);
     std::thread::sleep(Duration::from_millis(100)); // the failure goes out a little before the attempt ends
     gate.open();
-    // Its connection is not used again, and the client gets the next answer and no other.
+    // Its connection is not used again, and the client gets the next response and no other.
     assert_eq!(client.request(&page("r-next")).expect("a response").text(), "prompt");
     wait_for("the connection's end", || backend.closed() == 1);
 }
@@ -112,7 +112,7 @@
     wait_for("the first", || !backend.requests().is_empty());
     for client in &mut clients {
         client.shut_down_write();
-        assert!(client.is_closed(), "no answer is owed");
+        assert!(client.is_closed(), "no response is due");
     }
     wait_for("their end", || proxy.stat("/pending") == 0);
     let mut before = 0;
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -55,12 +55,12 @@
     // This one waits in the accept queue or is fresh when the signal comes.
     let mut fresh = proxy.client();
     proxy.terminate();
-    let answer = fresh.request(&page("r-2")).expect("a response");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    let response = fresh.request(&page("r-2")).expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(idle.is_closed(), "an idle connection closes");
     gate.open();
-    let answer = busy.response().expect("a response");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    let response = busy.response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(proxy.wait().success());
 }
 
--- a/crates/cli/tests/readiness.rs
+++ b/crates/cli/tests/readiness.rs
@@ -98,9 +98,9 @@
         // Where lists are pushed all that an agent has counts as known from the first moment on, and the settings' grace
         // is over by now. Only an agent that is down has nothing.
         let expected = if *name == DOWN { 200 } else { 503 };
-        let answer = proxy.client().request(&page("r-1")).expect("a response");
-        assert_eq!(answer.status(), expected, "{name}");
-        assert_eq!(answer.header("retry-after").is_some(), expected == 503, "{name}: {answer:?}");
+        let response = proxy.client().request(&page("r-1")).expect("a response");
+        assert_eq!(response.status(), expected, "{name}");
+        assert_eq!(response.header("retry-after").is_some(), expected == 503, "{name}: {response:?}");
     }
 }
 
@@ -126,9 +126,9 @@
     let after = time_until_ready(&proxy);
     eprintln!("{name}: ready after {after:?}");
     assert!(after < Duration::from_secs(6), "{name}: {after:?}");
-    let answer = proxy.client().request(&page("r-1")).expect("a response");
-    assert_eq!(answer.status(), 503, "{name}");
-    assert!(answer.header("retry-after").is_some(), "{name}: {answer:?}");
+    let response = proxy.client().request(&page("r-1")).expect("a response");
+    assert_eq!(response.status(), 503, "{name}");
+    assert!(response.header("retry-after").is_some(), "{name}: {response:?}");
     proxy
 }
 
--- a/crates/cli/tests/remaining_time.rs
+++ b/crates/cli/tests/remaining_time.rs
@@ -51,9 +51,9 @@
     let mut client = proxy.client();
     client.send(&submit("r-long", "1", &"x".repeat(LONG_BODY)));
     let sent_at = Instant::now();
-    let answer = client.response().expect("an answer, while the backend holds all that it has");
-    assert_eq!(answer.status(), 503);
-    assert!(answer.header("retry-after").is_some());
+    let response = client.response().expect("a response, while the backend delays all that it has");
+    assert_eq!(response.status(), 503);
+    assert!(response.header("retry-after").is_some());
     assert!(sent_at.elapsed() < Duration::from_secs(10), "{:?}", sent_at.elapsed());
     assert!(backend.requests().iter().all(|request| request.id() != "r-long"));
     gate.open();
--- a/crates/cli/tests/shutdown.rs
+++ b/crates/cli/tests/shutdown.rs
@@ -66,8 +66,8 @@
     // Long enough for a process that waits for nobody to be gone; the head has 2.4 s from its first byte on.
     std::thread::sleep(Duration::from_millis(500));
     client.send(rest);
-    let answer = client.response().expect("a response");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
+    let response = client.response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(proxy.wait().success());
 }
 
@@ -83,7 +83,7 @@
         client
     };
     let mut stuck: Vec<Client> = (0..40).map(half).collect();
-    // Its rest may be on the way when it is asked to go: it is owed an answer, and knows that nothing was done.
+    // Its rest may be on the way when it is asked to go: it gets a response, which says that nothing was done.
     assert_eq!(stuck[0].last_response(), Some((503, true)));
 }
 
--- a/crates/cli/tests/sockets/mod.rs
+++ b/crates/cli/tests/sockets/mod.rs
@@ -3,11 +3,14 @@
 #![allow(dead_code, unused_imports)] // each test file uses its own part
 
 mod backend;
+pub mod cancellation;
 mod client;
 mod discovery;
 mod listener;
 mod message;
+mod program;
 mod proxy;
+mod scripted_discovery;
 mod setup;
 mod system;
 
@@ -19,8 +22,10 @@
 pub use discovery::{Discovery, all_up, host, list};
 pub use listener::{RefusingAddress, accept_connecting, fill_accept_queue, full_listener, wait_for_close};
 pub use message::{Message, read_message};
+pub use program::{leadrelay, text, two_backends};
 pub use proxy::Proxy;
-pub use setup::{Setup, config, config_file};
+pub use scripted_discovery::{ScriptedDiscovery, ScriptedResponse};
+pub use setup::{Platform, Setup, config, config_file, setup_with_admin};
 
 /// No wait takes longer, however loaded the machine.
 pub const LIMIT: Duration = Duration::from_secs(30);
--- a/crates/cli/tests/sockets/proxy.rs
+++ b/crates/cli/tests/sockets/proxy.rs
@@ -26,12 +26,12 @@
 /// calls.
 fn serve_command(setup: &Setup) -> Command {
     let program = env!("CARGO_BIN_EXE_leadrelay");
-    if let Some((listener, folder)) = &setup.passed_socket {
+    if let Some(platform) = &setup.platform {
         let mut command = Command::new("sh");
         // Descriptor 3, as the platform passes it.
         command.args(["-c", "exec 3<&0 </dev/null; exec \"$0\" serve", program]);
-        command.env("TMPDIR", folder).env("NODE_PASSED_SOCKET", "3");
-        command.stdin(OwnedFd::from(listener.try_clone().expect("a handle")));
+        command.env("TMPDIR", &platform.folder).env("NODE_PASSED_SOCKET", "3");
+        command.stdin(OwnedFd::from(platform.listener.try_clone().expect("a handle")));
         return command;
     }
     if let Some(limit) = setup.descriptor_limit {
--- a/crates/cli/tests/sockets/setup.rs
+++ b/crates/cli/tests/sockets/setup.rs
@@ -1,11 +1,10 @@
-//! What a test may configure of a proxy.
+//! The settings of a proxy under test.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
-use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What a test may set otherwise.
+/// The settings of a proxy under test.
 pub struct Setup {
     /// The cached list, as JSON.
     pub cached_list: String,
@@ -18,8 +17,8 @@
     pub gossip: Option<(SocketAddr, SocketAddr)>,
     /// Whether it has an admin address.
     pub has_admin: bool,
-    /// The platform's listening socket, and the folder that the processes of a proxy share.
-    pub passed_socket: Option<(Arc<TcpListener>, PathBuf)>,
+    /// The platform, if it passes a listening socket.
+    pub platform: Option<Platform>,
     /// Descriptors that the system allows the process.
     pub descriptor_limit: Option<u32>,
 }
@@ -34,12 +33,33 @@
             deadline_ms: 5000,
             gossip: None,
             has_admin: false,
-            passed_socket: None,
+            platform: None,
             descriptor_limit: None,
         }
     }
 }
 
+/// The defaults, with an admin address.
+pub fn setup_with_admin() -> Setup {
+    Setup { has_admin: true, ..Setup::default() }
+}
+
+/// The platform of a proxy that passes it a listening socket.
+pub struct Platform {
+    pub listener: TcpListener,
+    /// The folder that the processes of the proxy share.
+    pub folder: PathBuf,
+}
+
+impl Platform {
+    /// A platform with a folder of its own.
+    pub fn new(name: &str) -> Self {
+        let folder = std::env::temp_dir().join(format!("platform-{}-{name}", std::process::id()));
+        std::fs::create_dir_all(&folder).expect("a folder");
+        Platform { listener: TcpListener::bind("127.0.0.1:0").expect("a port"), folder }
+    }
+}
+
 /// A configuration, as the operators' JSON.
 pub fn config(discovery: SocketAddr, setup: &Setup) -> String {
     let gossip_enabled = setup.gossip.is_some();
--- a/crates/cli/tests/system_errors.rs
+++ b/crates/cli/tests/system_errors.rs
@@ -98,8 +98,8 @@
         for request in 0..6 {
             let id = format!("r-{connection}-{request}");
             let text = if request % 2 == 0 { page(&id) } else { submit(&id, "5", &"x".repeat(3000)) };
-            let answer = client.request(&text);
-            assert_eq!(answer.map(|answer| answer.status()), Some(200), "{id}");
+            let response = client.request(&text);
+            assert_eq!(response.map(|response| response.status()), Some(200), "{id}");
         }
     }
 }
@@ -118,9 +118,9 @@
         proxy.faults.fail_sockets(errors, 100);
         for number in 0..8 {
             let text = page(&format!("r-{number}")).replace("X-Timeout: 5\r", "X-Timeout: 0.6\r");
-            let answer = proxy.process.client().request(&text).expect("a response");
-            assert_eq!(answer.status(), 503, "{errno:?}: nothing can be sent");
-            assert!(answer.header("retry-after").is_some(), "{errno:?}");
+            let response = proxy.process.client().request(&text).expect("a response");
+            assert_eq!(response.status(), 503, "{errno:?}: nothing can be sent");
+            assert!(response.header("retry-after").is_some(), "{errno:?}");
         }
         proxy.faults.clear();
         std::thread::sleep(Duration::from_millis(150)); // until the statistics have been updated
--- a/crates/cli/tests/upstream_failures.rs
+++ b/crates/cli/tests/upstream_failures.rs
@@ -7,9 +7,9 @@
 
 /// Sends a request that is not idempotent to a proxy with two backends that reply alike; returns its status and the number of
 /// attempts.
-fn send_submit_to_two(answer: Reply) -> (u16, usize) {
-    let one = Backend::new(answer.clone());
-    let two = Backend::new(answer);
+fn send_submit_to_two(response: Reply) -> (u16, usize) {
+    let one = Backend::new(response.clone());
+    let two = Backend::new(response);
     let (_discovery, proxy) = proxy_with(&[&one, &two]);
     let status = status(proxy.client().request(&submit("r-1", "2", "x")));
     (status, one.requests().len() + two.requests().len())
@@ -18,25 +18,25 @@
 #[test]
 fn request_that_may_have_run_is_not_retried() {
     let short = ok("0123456789").replace("0123456789", "01234");
-    for answer in [
+    for response in [
         Reply::Write(empty("500 Oops")),
         // 503 and 504 prove nothing by themselves.
         Reply::Write(empty("503 Busy")),
         Reply::Write(empty("504 Late")),
         Reply::Write(empty("503 Busy\r\nX-Not-Processed: 0")),
         Reply::Write(empty("302 Elsewhere")),
-        // Half a body is no answer, and neither is one that is longer than any may be.
+        // Half a body is no response, and neither is one that is longer than the limit.
         Reply::WriteAndClose(short),
         Reply::WriteAndClose("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n".into()),
         Reply::WriteAndClose("garbage \u{1}\r\n\r\n".into()),
         Reply::WriteAndClose(String::new()),
         Reply::Write(ok("x").replace("Content-Length: 1", "Content-Length: 40000000")),
     ] {
-        let text = match &answer {
+        let text = match &response {
             Reply::Write(text) | Reply::WriteAndClose(text) | Reply::Delayed(_, text) => text.clone(),
             Reply::InParts(text, ..) => text.clone(),
         };
-        assert_eq!(send_submit_to_two(answer), (502, 1), "{text:.200}");
+        assert_eq!(send_submit_to_two(response), (502, 1), "{text:.200}");
     }
 }
 
@@ -57,8 +57,8 @@
     let mut number = 0;
     wait_for("the one that cuts", || {
         number += 1;
-        let answer = proxy.client().request(&page(&format!("r-{number}"))).expect("a response");
-        assert_eq!((answer.status(), answer.text().as_str()), (200, "0123456789"));
+        let response = proxy.client().request(&page(&format!("r-{number}"))).expect("a response");
+        assert_eq!((response.status(), response.text().as_str()), (200, "0123456789"));
         !cut.requests().is_empty()
     });
 }
@@ -66,7 +66,7 @@
 #[test]
 fn malformed_responses_fail_at_once() {
     let long = format!("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{}", "x".repeat(1000));
-    for answer in [
+    for response in [
         "\u{1}\u{2} noise \r\n\r\n".to_owned(),
         "HTTP/1.1 200 OK\r\nX-Endless: ".into(),
         format!("HTTP/1.1 200 OK\r\nX-Endless: {}", "x".repeat(100_000)),
@@ -78,18 +78,18 @@
         "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\n01234".into(),
     ] {
         // Its connection stays open, so that only the time-out of a client with much patience would end it.
-        let malformed = Backend::new(Reply::Write(answer.clone()));
+        let malformed = Backend::new(Reply::Write(response.clone()));
         let good = Backend::new(Reply::Write(ok("good")));
         let discovery = Discovery::new();
         discovery.publish(&all_up(&[&malformed]));
         let setup = Setup { deadline_ms: 90_000, ..Setup::default() };
         let proxy = Proxy::start_ready(&discovery, &setup);
-        assert_eq!(status(proxy.client().request(&submit("r-1", "90", "x"))), 502, "{answer:.80}");
+        assert_eq!(status(proxy.client().request(&submit("r-1", "90", "x"))), 502, "{response:.80}");
         wait_for("the connection's end", || malformed.closed() == 1);
         // What may be repeated is made good elsewhere.
         discovery.publish(&list(2, false, &[host("s-good", good.address, "up", 0)]));
-        let answer = proxy.client().request(&page("r-2").replace("Timeout: 5", "Timeout: 90"));
-        assert_eq!(answer.expect("a response").text(), "good");
+        let response = proxy.client().request(&page("r-2").replace("Timeout: 5", "Timeout: 90"));
+        assert_eq!(response.expect("a response").text(), "good");
     }
 }
 
@@ -106,8 +106,8 @@
         discovery.publish(&list(1, true, &hosts));
         let proxy = Proxy::start_ready(&discovery, &Setup::default());
         for number in 0..6 {
-            let answer = proxy.client().request(&submit(&format!("r-{number}"), "5", "x"));
-            assert_eq!(status(answer), 200, "request {number} at {address}");
+            let response = proxy.client().request(&submit(&format!("r-{number}"), "5", "x"));
+            assert_eq!(status(response), 200, "request {number} at {address}");
         }
     }
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,5 +1,6 @@
 //! A small fleet of real proxies with stand-in backends, discovery and clients.
 
+use std::net::TcpListener;
 use std::sync::atomic::{AtomicI64, Ordering::SeqCst};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant, SystemTime};
@@ -152,12 +153,12 @@
 /// The proxies of a fleet, each with the listening socket that it is passed, if any.
 async fn proxy_specs(
     discovery: &Arc<Discovery>, gossip_enabled: bool, passed_sockets: bool,
-) -> anyhow::Result<Vec<(ProxySpec, Option<std::net::TcpListener>)>> {
+) -> anyhow::Result<Vec<(ProxySpec, Option<TcpListener>)>> {
     let proxy_count = if gossip_enabled { GOSSIPING_PROXIES } else { ISOLATED_PROXIES };
     let peers = if gossip_enabled { Some([free_address()?, free_address()?]) } else { None };
     let mut specs = Vec::new();
     for index in 0..proxy_count {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
+        let listener = TcpListener::bind("127.0.0.1:0")?;
         let listen = listener.local_addr()?;
         let listener = passed_sockets.then_some(listener);
         let spec = ProxySpec { index, proxy_count, listen, discovery: discovery.listen().await?, peers };
--- a/crates/soak/src/inject.rs
+++ b/crates/soak/src/inject.rs
@@ -1,5 +1,7 @@
 //! Injects faults into a running fleet, each from start to end.
 
+use std::ops::Range;
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 use fastrand::Rng;
@@ -15,9 +17,9 @@
 use crate::syscall_faults::{Errno, SocketErrors};
 
 /// The duration of a fault that has no length of its own, in milliseconds.
-const DURATION_MS: std::ops::Range<u64> = 500..3500;
+const DURATION_MS: Range<u64> = 500..3500;
 /// For how long a stopped process stays so, in milliseconds.
-const PAUSE_MS: std::ops::Range<u64> = 20..150;
+const PAUSE_MS: Range<u64> = 20..150;
 /// Between the crash of a backend and its restart after a clock step.
 const CLOCK_STEP_RESTART: Duration = Duration::from_millis(100);
 /// Between the crash of a backend and its restart in maintenance.
@@ -75,7 +77,7 @@
         Ok(())
     }
 
-    fn proxy(&self, proxy: usize) -> &std::sync::Arc<Proxy> {
+    fn proxy(&self, proxy: usize) -> &Arc<Proxy> {
         &self.fleet.proxies[proxy]
     }
 
@@ -198,7 +200,7 @@
                 confirmed.push((proxy, Instant::now()));
             }
         }
-        let record = |(proxy, since): (&std::sync::Arc<Proxy>, Instant)| {
+        let record = |(proxy, since): (&Arc<Proxy>, Instant)| {
             self.fleet.recorder.record_out_of_service(OutOfService {
                 backend,
                 proxy: Some(proxy.spec.index),
