--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -11,6 +11,7 @@
 use crate::backend::Backend;
 use crate::clients::{Client, ClientBehavior, RequestIds};
 use crate::discovery::{Discovery, Health};
+use crate::error::Error;
 use crate::fault::FaultScope;
 use crate::history::{OutOfService, OutOfServiceIndex, Recorder};
 use crate::proxy::{LaunchOptions, Proxy, free_address};
@@ -44,7 +45,7 @@
     ///
     /// # Errors
     /// If any of them does not start.
-    pub async fn start(options: &LaunchOptions, rng: &mut Rng) -> anyhow::Result<Arc<Self>> {
+    pub async fn start(options: &LaunchOptions, rng: &mut Rng) -> Result<Arc<Self>, Error> {
         let recorder = Arc::<Recorder>::default();
         let discovery = Discovery::new();
         let backends = start_backends(&discovery, &recorder, rng).await?;
@@ -103,7 +104,7 @@
     ///
     /// # Errors
     /// If its port can't be had again.
-    pub async fn restart_backend(&self, backend: usize) -> anyhow::Result<()> {
+    pub async fn restart_backend(&self, backend: usize) -> Result<(), Error> {
         self.backends[backend].restart().await?;
         self.discovery.publish(&self.backends[backend], Health::Up, Some(self.wall_clock()));
         Ok(())
@@ -139,7 +140,7 @@
 
 async fn start_backends(
     discovery: &Discovery, recorder: &Arc<Recorder>, rng: &mut Rng,
-) -> anyhow::Result<Vec<Arc<Backend>>> {
+) -> Result<Vec<Arc<Backend>>, Error> {
     let mut backends = Vec::new();
     for index in 0..BACKENDS {
         let speed = 1.0 + rng.f64();
@@ -153,7 +154,7 @@
 /// The proxies of a fleet, each with the listening socket that it is passed, if any.
 async fn proxy_specs(
     discovery: &Arc<Discovery>, gossip_enabled: bool, passed_sockets: bool,
-) -> anyhow::Result<Vec<(ProxySpec, Option<TcpListener>)>> {
+) -> Result<Vec<(ProxySpec, Option<TcpListener>)>, Error> {
     let proxy_count = if gossip_enabled { GOSSIPING_PROXIES } else { ISOLATED_PROXIES };
     let peers = if gossip_enabled { Some([free_address()?, free_address()?]) } else { None };
     let mut specs = Vec::new();
@@ -167,7 +168,7 @@
     Ok(specs)
 }
 
-async fn start_all(proxies: &[Arc<Proxy>]) -> anyhow::Result<()> {
+async fn start_all(proxies: &[Arc<Proxy>]) -> Result<(), Error> {
     let mut starts = JoinSet::new();
     for proxy in proxies {
         let proxy = proxy.clone();
--- a/crates/soak/src/inject.rs
+++ b/crates/soak/src/inject.rs
@@ -10,6 +10,7 @@
 use crate::backend::{Backend, BackendMode};
 use crate::clients::ClientBehavior;
 use crate::discovery::{self, DiscoveryMode, Health};
+use crate::error::Error;
 use crate::fault::{ClientFault, Fault};
 use crate::fleet::Fleet;
 use crate::history::{OutOfService, OutOfServiceIndex};
@@ -35,7 +36,7 @@
 ///
 /// # Errors
 /// If a part of the fleet fails in a way that no fault explains.
-pub async fn inject(fleet: &Fleet, fault: Fault, seed: u64) -> anyhow::Result<()> {
+pub async fn inject(fleet: &Fleet, fault: Fault, seed: u64) -> Result<(), Error> {
     let mut rng = Rng::with_seed(seed);
     let duration = Duration::from_millis(rng.u64(DURATION_MS));
     fleet.recorder.record_fault(format!("{fault:?} for {duration:?}"));
@@ -50,7 +51,7 @@
 }
 
 impl Injection<'_> {
-    async fn run(mut self, fault: Fault) -> anyhow::Result<()> {
+    async fn run(mut self, fault: Fault) -> Result<(), Error> {
         match fault {
             Fault::Restart(proxy) => self.proxy(proxy).restart().await?,
             Fault::Kill(proxy) => self.proxy(proxy).kill(self.duration / 2).await?,
@@ -91,7 +92,7 @@
         let _ = self.proxy(proxy).call("PUT /healthcheck/ok").await;
     }
 
-    async fn crash(&self, backend: usize) -> anyhow::Result<()> {
+    async fn crash(&self, backend: usize) -> Result<(), Error> {
         self.backend(backend).crash();
         sleep(self.duration).await;
         self.fleet.restart_backend(backend).await
@@ -103,7 +104,7 @@
         self.backend(backend).set_mode(BackendMode::Serve);
     }
 
-    async fn stop_discovery(&self) -> anyhow::Result<()> {
+    async fn stop_discovery(&self) -> Result<(), Error> {
         self.fleet.discovery.stop();
         sleep(2 * self.duration).await;
         self.fleet.discovery.resume().await?;
@@ -118,7 +119,7 @@
         self.fleet.recorder.record_discovery_recovery();
     }
 
-    async fn step_clock(&self, seconds: i64, backend: usize) -> anyhow::Result<()> {
+    async fn step_clock(&self, seconds: i64, backend: usize) -> Result<(), Error> {
         self.fleet.step_clock(seconds);
         sleep(self.duration).await;
         self.backend(backend).crash();
@@ -165,7 +166,7 @@
     }
 
     /// A backend drains, is removed and returns as a new process.
-    async fn replace(&self, backend: usize) -> anyhow::Result<()> {
+    async fn replace(&self, backend: usize) -> Result<(), Error> {
         let period = self.fleet.start_draining(backend);
         sleep(self.duration).await;
         self.fleet.discovery.publish(self.backend(backend), Health::Removed, None);
@@ -176,7 +177,7 @@
     }
 
     /// Operators put a backend into maintenance everywhere; it is restarted meanwhile.
-    async fn maintain(&self, backend: usize) -> anyhow::Result<()> {
+    async fn maintain(&self, backend: usize) -> Result<(), Error> {
         let periods = self.start_maintenance(backend).await;
         sleep(self.duration).await;
         self.backend(backend).crash();
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod backend;
 pub mod clients;
 pub mod discovery;
+pub mod error;
 pub mod fault;
 pub mod fleet;
 pub mod history;
--- a/crates/soak/src/proxy/launch.rs
+++ b/crates/soak/src/proxy/launch.rs
@@ -5,9 +5,9 @@
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 
-use anyhow::Context as _;
 use tokio::process::{Child, Command};
 
+use crate::error::Error;
 use crate::settings::{ProxySpec, proxy_config};
 use crate::syscall_faults::{CONTROL_FILE_VARIABLE, LIBRARY, SyscallFaults};
 
@@ -27,10 +27,9 @@
 
 impl LaunchOptions {
     /// The options for one proxy of a fleet, with a folder of its own, which is created.
-    pub(super) fn for_proxy(&self, index: usize) -> anyhow::Result<Self> {
+    pub(super) fn for_proxy(&self, index: usize) -> Result<Self, Error> {
         let folder = self.folder.join(format!("n{index}"));
-        std::fs::create_dir_all(folder.join("tmp"))
-            .with_context(|| format!("can't create {}", folder.display()))?;
+        std::fs::create_dir_all(folder.join("tmp")).map_err(Error::create(&folder))?;
         Ok(LaunchOptions { folder, ..self.clone() })
     }
 
@@ -50,9 +49,7 @@
     }
 
     /// Starts a process. Its configuration file has to be there.
-    pub(super) fn spawn(
-        &self, passed: Option<&TcpListener>, faults: &SyscallFaults,
-    ) -> anyhow::Result<Child> {
+    pub(super) fn spawn(&self, passed: Option<&TcpListener>, faults: &SyscallFaults) -> Result<Child, Error> {
         let mut command = match passed {
             Some(listener) => command_with_socket(&self.program, listener)?,
             None => {
@@ -68,7 +65,7 @@
         command.env(CONTROL_FILE_VARIABLE, faults.path());
         command.stderr(Stdio::piped());
         command.kill_on_drop(true);
-        command.spawn().context("the proxy does not start")
+        command.spawn().map_err(Error::Spawn)
     }
 }
 
--- a/crates/soak/src/proxy/mod.rs
+++ b/crates/soak/src/proxy/mod.rs
@@ -10,11 +10,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-use anyhow::Context as _;
 use rustix::process::{Pid, Signal};
 use tokio::time::sleep;
 
 use crate::admin;
+use crate::error::Error;
 use crate::history::{ProcessEvent, Recorder};
 use crate::settings::ProxySpec;
 use crate::syscall_faults::SyscallFaults;
@@ -56,7 +56,7 @@
     /// If its folder can't be created.
     pub fn new(
         spec: ProxySpec, options: &LaunchOptions, passed: Option<TcpListener>, recorder: Arc<Recorder>,
-    ) -> anyhow::Result<Arc<Self>> {
+    ) -> Result<Arc<Self>, Error> {
         let options = options.for_proxy(spec.index)?;
         Ok(Arc::new(Proxy {
             spec,
@@ -85,12 +85,12 @@
     ///
     /// # Errors
     /// If it does not start, or is not ready in time.
-    pub async fn start(&self) -> anyhow::Result<()> {
+    pub async fn start(&self) -> Result<(), Error> {
         let _lifecycle = self.lifecycle.lock().await;
         self.start_process().await
     }
 
-    async fn start_process(&self) -> anyhow::Result<()> {
+    async fn start_process(&self) -> Result<(), Error> {
         let process = self.spawn()?;
         self.wait_ready(&process, READY_TIMEOUT).await?;
         self.accepts.store(true, SeqCst);
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     /// As [`Proxy::start`].
-    pub async fn restart(&self) -> anyhow::Result<()> {
+    pub async fn restart(&self) -> Result<(), Error> {
         let _lifecycle = self.lifecycle.lock().await;
         let Some(process) = self.newest() else { return Ok(()) };
         self.record(ProcessEvent::Terminated);
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     /// As [`Proxy::start`].
-    pub async fn kill(&self, down_time: Duration) -> anyhow::Result<()> {
+    pub async fn kill(&self, down_time: Duration) -> Result<(), Error> {
         let _lifecycle = self.lifecycle.lock().await;
         let processes = self.processes().clone();
         self.accepts.store(false, SeqCst);
@@ -132,7 +132,7 @@
     ///
     /// # Errors
     /// As [`Proxy::start`].
-    pub async fn upgrade(&self) -> anyhow::Result<()> {
+    pub async fn upgrade(&self) -> Result<(), Error> {
         let _lifecycle = self.lifecycle.lock().await;
         let Some(old) = self.newest() else { return Ok(()) };
         let new = self.spawn()?;
@@ -198,11 +198,12 @@
         config_after_reloads(&self.spec, admin, self.reloads.load(SeqCst))
     }
 
-    fn spawn(&self) -> anyhow::Result<Arc<Process>> {
+    fn spawn(&self) -> Result<Arc<Process>, Error> {
         let admin = free_address()?;
         std::fs::write(self.options.config_file(), self.config(admin))?;
         let mut child = self.options.spawn(self.passed.as_ref(), &self.syscall_faults)?;
-        let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32)).context("it has ended at once")?;
+        let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32));
+        let pid = pid.ok_or(Error::ExitedEarly { proxy: self.spec.index })?;
         self.record(ProcessEvent::Started);
         let process = Arc::new(Process::new(pid, admin));
         self.processes().push(process.clone());
@@ -216,11 +217,8 @@
         Ok(process)
     }
 
-    async fn wait_ready(&self, process: &Process, timeout: Duration) -> anyhow::Result<()> {
-        process
-            .wait_ready(timeout)
-            .await
-            .with_context(|| format!("a process of proxy {}", self.spec.index))?;
+    async fn wait_ready(&self, process: &Process, timeout: Duration) -> Result<(), Error> {
+        process.wait_ready(self.spec.index, timeout).await?;
         self.record(ProcessEvent::Ready);
         Ok(())
     }
--- a/crates/soak/src/proxy/process.rs
+++ b/crates/soak/src/proxy/process.rs
@@ -10,6 +10,7 @@
 use tokio::time::sleep;
 
 use crate::admin;
+use crate::error::Error;
 use crate::history::ProcessEvent;
 use crate::settings::MAX_DEADLINE;
 
@@ -76,16 +77,18 @@
     }
 
     /// Waits until its health check succeeds.
-    pub(super) async fn wait_ready(&self, limit: Duration) -> anyhow::Result<()> {
-        let end = Instant::now() + limit;
+    pub(super) async fn wait_ready(&self, proxy: usize, timeout: Duration) -> Result<(), Error> {
+        let end = Instant::now() + timeout;
         while Instant::now() < end {
-            anyhow::ensure!(self.is_running(), "it exited before it was ready");
+            if !self.is_running() {
+                return Err(Error::ExitedEarly { proxy });
+            }
             if matches!(admin::call(self.admin, "GET /healthcheck").await, Ok((200, _))) {
                 return Ok(());
             }
             sleep(READY_CHECK_PERIOD).await;
         }
-        anyhow::bail!("it is not ready in {limit:?}")
+        Err(Error::NotReady { proxy, timeout })
     }
 
     /// Takes its exit; returns whether that was requested or a crash.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use anyhow::Context as _;
 use fastrand::Rng;
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
+use crate::error::Error;
 use crate::fault::Fault;
 use crate::fleet::Fleet;
 use crate::history::SchedulingDelay;
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// If the fleet can't be started.
-pub async fn run(plan: &Plan) -> anyhow::Result<Report> {
+pub async fn run(plan: &Plan) -> Result<Report, Error> {
     let mut rng = Rng::with_seed(plan.seed);
     let fleet = Fleet::start(&plan.launch, &mut rng).await?;
     let delay_monitor = monitor_scheduling(&fleet);
@@ -68,7 +68,7 @@
     let mut report = Report::new(&history, violations);
     report.add_own_violations(own_violations);
     if let Err(error) = faults_result {
-        report.add_failure(&format!("{error:#}"));
+        report.add_failure(&error.to_string());
     }
     Ok(report)
 }
@@ -96,7 +96,7 @@
 }
 
 /// Injects groups of faults, one after another. The order of the draws is part of the plan.
-async fn inject_faults(fleet: &Arc<Fleet>, duration: Duration, rng: &mut Rng) -> anyhow::Result<()> {
+async fn inject_faults(fleet: &Arc<Fleet>, duration: Duration, rng: &mut Rng) -> Result<(), Error> {
     let end = Instant::now() + duration;
     let mut running = JoinSet::new();
     while Instant::now() < end {
@@ -109,10 +109,11 @@
         }
         sleep(GROUP_PERIOD).await;
     }
-    tokio::time::timeout(FAULT_TIMEOUT, wait_for_all(running)).await.context("a fault did not end")?
+    let result = tokio::time::timeout(FAULT_TIMEOUT, wait_for_all(running)).await;
+    result.unwrap_or(Err(Error::FaultTimeout))
 }
 
-async fn wait_for_all(mut running: JoinSet<anyhow::Result<()>>) -> anyhow::Result<()> {
+async fn wait_for_all(mut running: JoinSet<Result<(), Error>>) -> Result<(), Error> {
     while let Some(end) = running.join_next().await {
         end??;
     }
--- a/crates/soak/src/syscall_faults.rs
+++ b/crates/soak/src/syscall_faults.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use anyhow::Context as _;
+use crate::error::Error;
 
 /// The path of the library, for `LD_PRELOAD`.
 pub const LIBRARY: &str = env!("FAULTS_LIBRARY");
@@ -71,9 +71,9 @@
     ///
     /// # Errors
     /// If the file can't be created.
-    pub fn new(path: &Path) -> anyhow::Result<Self> {
+    pub fn new(path: &Path) -> Result<Self, Error> {
         let file = File::options().read(true).write(true).create(true).truncate(true).open(path);
-        let file = file.with_context(|| format!("can't create {}", path.display()))?;
+        let file = file.map_err(Error::create(path))?;
         file.set_len(FILE_SIZE)?;
         Ok(SyscallFaults { path: path.to_owned(), file })
     }
