--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -1,6 +1,6 @@
 //! Attempts on real connections, in an order that the test sets.
 
-use std::cell::Cell;
+use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,12 +35,19 @@
 }
 
 fn upstream_request(body: Bytes, client_disconnected: bool) -> Rc<UpstreamRequest> {
+    upstream_request_checked_by(body, move || client_disconnected)
+}
+
+/// A request whose client is checked by `client_disconnected`, which is called just before the first byte is written.
+fn upstream_request_checked_by(
+    body: Bytes, client_disconnected: impl Fn() -> bool + 'static,
+) -> Rc<UpstreamRequest> {
     Rc::new(UpstreamRequest {
         method: Method::POST,
         uri: Uri::from_static("/x"),
         headers: HeaderMap::new(),
         body: RequestBody::Buffered { bytes: body, _memory: None },
-        client_disconnected: Box::new(move || client_disconnected),
+        client_disconnected: Box::new(client_disconnected),
     })
 }
 
@@ -68,11 +75,17 @@
 /// Starts an attempt at an endpoint that may have idle connections.
 fn start_attempt_at(
     pool: &Rc<UpstreamPool>, endpoint: &Rc<UpstreamEndpoint>, body: Bytes, state: &Rc<Cell<RequestState>>,
+) -> JoinHandle<Option<Outcome>> {
+    start_request_at(pool, endpoint, upstream_request(body, false), state)
+}
+
+fn start_request_at(
+    pool: &Rc<UpstreamPool>, endpoint: &Rc<UpstreamEndpoint>, request: Rc<UpstreamRequest>,
+    state: &Rc<Cell<RequestState>>,
 ) -> JoinHandle<Option<Outcome>> {
     let pool = pool.clone();
     let endpoint = endpoint.clone();
     let state = state.clone();
-    let request = upstream_request(body, false);
     tokio::task::spawn_local(async move {
         let mut reported = None;
         let deadline = Instant::now() + Duration::from_secs(60);
@@ -229,21 +242,28 @@
             let pool = pool_of(8);
             let state = pending();
             let (endpoint, idle) = idle_connection(&pool, &listener, &state).await;
-            // The attempt has taken the connection before the backend acts, and the connection's own task is to write
-            // only after that: tasks run in the order in which they are woken.
-            let attempt = start_attempt_at(&pool, &endpoint, Bytes::new(), &state);
-            let acted = tokio::task::spawn_local({
+            // The attempt has taken the connection before the backend acts, and writes only after that.
+            let backend_end = Rc::new(RefCell::new(Some(idle)));
+            let kept_open = Rc::new(RefCell::new(None));
+            let act_before_first_byte = {
                 let endpoint = endpoint.clone();
-                async move {
-                    assert_eq!(endpoint.idle_connections(), 0, "it has been taken");
-                    action(idle)
+                let backend_end = backend_end.clone();
+                let kept_open = kept_open.clone();
+                move || {
+                    if let Some(idle) = backend_end.take() {
+                        assert_eq!(endpoint.idle_connections(), 0, "it has been taken");
+                        kept_open.replace(action(idle));
+                    }
+                    false
                 }
-            });
-            let idle = acted.await.expect("no panic");
+            };
+            let request = upstream_request_checked_by(Bytes::new(), act_before_first_byte);
+            let attempt = start_request_at(&pool, &endpoint, request, &state);
             let mut new = accept_request(&listener).await;
             new.write_all(REJECTED).await.expect("it reads");
             assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Rejected), "the new one's response");
-            if let Some(mut idle) = idle {
+            assert!(backend_end.take().is_none(), "the backend has acted");
+            if let Some(mut idle) = kept_open.take() {
                 let read = idle.read(&mut [0; 1]).await;
                 assert!(!matches!(read, Ok(1)), "nothing is written to the old one");
             }
