--- a/crates/core/src/balancer/dispatch.rs
+++ b/crates/core/src/balancer/dispatch.rs
@@ -87,6 +87,7 @@
 
     /// The endpoint to which a request is sent now; `None` if it is held.
     fn select(&mut self, now: Millis, id: RequestId) -> Option<EndpointIndex> {
+        // The selector borrows all components, so it draws from a copy that is put back.
         let mut rng = self.rng.clone();
         let Selection { endpoint, decision } = self.selector(now).select(id, &mut rng);
         self.rng = rng;
