--- a/crates/core/src/balancer/arrivals.rs
+++ b/crates/core/src/balancer/arrivals.rs
@@ -1,6 +1,6 @@
-//! A request arrives.
+//! Handles arriving requests: their deadline, their affinity endpoint and their place in a queue.
 
-use super::answers::ANSWER_MARGIN;
+use super::answers::FINAL_RESPONSE_MARGIN;
 use super::{Balancer, is_idempotent};
 use crate::actions::{Action, RejectionReason};
 use crate::endpoints::EndpointIndex;
@@ -16,74 +16,78 @@
     pub class: ClassId,
     pub tenant: Option<TenantId>,
     pub key: Option<AffinityKey>,
-    /// How long the client still waits, by its own word.
+    /// How long the client still waits, as it announced.
     pub timeout: Millis,
     pub announcement: Announcement,
     pub expected_cost: Option<Millis>,
 }
 
 impl Balancer {
-    pub(super) fn handle_arrival(&mut self, now: Millis, new: NewRequest, out: &mut Vec<Action>) {
+    pub(super) fn handle_arrival(&mut self, now: Millis, arrival: NewRequest, out: &mut Vec<Action>) {
         self.arrivals.record();
         self.retry_budget.refill();
         self.gossip.refill_budget(&self.settings);
-        let timeout = self.credible_timeout(now, &new);
-        let spec = self.assess(now, &new, timeout);
-        self.requests.insert(new.id, Request::new(spec));
-        if timeout < ANSWER_MARGIN {
-            // The next tick could come too late for it.
-            return self.answer(new.id, RejectionReason::TooLate, out);
+        let timeout = self.credible_timeout(now, &arrival);
+        let spec = self.request_spec(now, &arrival, timeout);
+        self.requests.insert(arrival.id, Request::new(spec));
+        if timeout < FINAL_RESPONSE_MARGIN {
+            // The next tick could be too late to respond before the deadline.
+            return self.reject_or_fail(arrival.id, RejectionReason::TooLate, out);
         }
-        self.enqueue(new.id, false);
+        self.enqueue(arrival.id, false);
     }
 
-    /// How long the client still waits, by its own word and by what others like it announced.
-    fn credible_timeout(&mut self, now: Millis, new: &NewRequest) -> Millis {
-        if !self.compares_announcements(new.class) {
-            return new.timeout;
+    /// How long the client still waits. A doubtful announcement is reduced to the longest of the recent announcements
+    /// of its class and tenant, if that is shorter.
+    fn credible_timeout(&mut self, now: Millis, arrival: &NewRequest) -> Millis {
+        if !self.compares_announced_timeouts(arrival.class) {
+            return arrival.timeout;
         }
-        let group = ClientGroup { class: new.class, tenant: new.tenant };
-        match new.announcement {
-            // Nobody is served by a shorter timeout, so that it says nothing of those who are.
-            Announcement::Typical(announced) if announced >= ANSWER_MARGIN => {
+        let group = ClientGroup { class: arrival.class, tenant: arrival.tenant };
+        match arrival.announcement {
+            // A timeout below this margin is too short for any response, so it tells nothing about requests that get
+            // one.
+            Announcement::Typical(announced) if announced >= FINAL_RESPONSE_MARGIN => {
                 self.client_timeouts.record(group, announced, now);
-                new.timeout
+                arrival.timeout
             }
             Announcement::Doubtful(announced) => {
-                let agreed = self.client_timeouts.agreed_maximum(group, now);
-                let excess = agreed.map_or(0.0, |agreed| (announced - agreed).max(0.0));
-                new.timeout - excess
+                let longest = self.client_timeouts.agreed_maximum(group, now);
+                let excess = longest.map_or(0.0, |longest| (announced - longest).max(0.0));
+                arrival.timeout - excess
             }
-            Announcement::Typical(_) | Announcement::Individual => new.timeout,
+            Announcement::Typical(_) | Announcement::Individual => arrival.timeout,
         }
     }
 
-    /// Whether clients of a class can be told from each other by what they announce: retries have to be marked. Only
-    /// requests that can be repeated are given up early.
-    fn compares_announcements(&self, class: ClassId) -> bool {
+    /// Whether the announced timeouts of a class are compared with each other. Clients have to mark their retries,
+    /// which announce what is left of a timeout. The class has to be idempotent, because only requests that can be
+    /// repeated are given up before the announced timeout.
+    fn compares_announced_timeouts(&self, class: ClassId) -> bool {
         self.settings.clients_mark_retries && is_idempotent(&self.settings.classes[class.0])
     }
 
-    /// What is known of a request from its arrival on, if its client waits for `timeout`.
-    fn assess(&mut self, now: Millis, new: &NewRequest, timeout: Millis) -> RequestSpec {
-        let class = new.class.0;
-        let over_quota = new.tenant.is_some_and(|tenant| !self.quotas.take(tenant));
-        let affinity_endpoint = new.key.and_then(|key| self.affinity_endpoint(key, now));
-        let cost = self.request_costs.assess(class, &self.settings.classes[class], new.expected_cost);
+    /// The properties of a request at its arrival, for a client that waits for `timeout`.
+    fn request_spec(&mut self, now: Millis, arrival: &NewRequest, timeout: Millis) -> RequestSpec {
+        let class = arrival.class.0;
+        let over_quota = arrival.tenant.is_some_and(|tenant| !self.quotas.take(tenant));
+        let affinity_endpoint = arrival.key.and_then(|key| self.affinity_endpoint(key, now));
+        let cost = self.request_costs.assess(class, &self.settings.classes[class], arrival.expected_cost);
         RequestSpec {
             class,
             relative_cost: cost.relative,
             over_quota,
             objective_at: now + cost.latency_objective.min(timeout),
             deadline: now + timeout,
-            is_shortened: timeout < new.timeout,
-            key: new.key.map_or(0, |key| key.0),
+            is_shortened: timeout < arrival.timeout,
+            key: arrival.key.map_or(0, |key| key.0),
             affinity_endpoint,
             max_attempts: self.settings.limits.max_attempts as usize,
         }
     }
 
-    /// The endpoint that a key has its affinity with: the same at every proxy, without any message between them.
+    /// The affinity endpoint of a key, by weighted rendezvous hashing: all proxies choose the same one without
+    /// exchanging messages.
     fn affinity_endpoint(&self, key: AffinityKey, now: Millis) -> Option<EndpointIndex> {
         if !self.settings.key_affinity {
             return None;
@@ -101,7 +105,7 @@
         eligible.min_by(|left, right| score(left).total_cmp(&score(right)))
     }
 
-    /// A request waits from now on, in front of its queue if it has waited before.
+    /// Adds a request to its queue; `in_front` puts a request that has waited before at the head.
     pub(super) fn enqueue(&mut self, id: RequestId, in_front: bool) {
         let request = self.requests.get_mut(id).expect("only open requests wait");
         request.waiting = true;
@@ -112,7 +116,7 @@
         self.queues.push(id, spec.class, spec.over_quota, in_front);
     }
 
-    /// A request waits no longer.
+    /// Marks a request as no longer waiting. An entry that is left in its queue is dropped later.
     pub(super) fn dequeue(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(id).filter(|request| request.waiting) else { return };
         request.waiting = false;
--- a/crates/core/src/balancer/discovery.rs
+++ b/crates/core/src/balancer/discovery.rs
@@ -1,4 +1,4 @@
-//! Events of discovery: lists, and the calls by which they come.
+//! Handles discovery events: endpoint lists, and the calls to discovery that deliver them.
 
 use super::Balancer;
 use crate::actions::{Action, CancelReason};
@@ -9,7 +9,7 @@
 use crate::settings::{DiscoveryMode, NotificationBounds};
 
 impl Balancer {
-    /// Takes in what the transport sees of discovery.
+    /// Handles an event of a discovery transport that may lose updates.
     pub(super) fn handle_discovery(&mut self, now: Millis, event: DiscoveryEvent, out: &mut Vec<Action>) {
         match event {
             DiscoveryEvent::Moved => {
@@ -45,10 +45,10 @@
                 }
             }
         }
-        self.follow_discovery(now, out);
+        self.update_discovery_call(now, out);
     }
 
-    /// Takes in a list by a transport that loses none, or from a cache.
+    /// Handles a list that comes from a cache or from a transport that loses no updates, or the failure to get one.
     pub(super) fn handle_list(&mut self, now: Millis, scope: ListScope, entries: Vec<Endpoint>) {
         if let Some(call) = self.subscription.call() {
             match scope {
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Gives up a call that takes too long, and makes the next one when it is due.
-    pub(super) fn follow_discovery(&mut self, now: Millis, out: &mut Vec<Action>) {
+    /// Cancels a call to discovery that takes too long, and makes the next call when it is due.
+    pub(super) fn update_discovery_call(&mut self, now: Millis, out: &mut Vec<Action>) {
         let may_lose_updates = self.settings.notification_bounds.is_some();
         if may_lose_updates && let Some(reason) = overdue(self.subscription.phase(), now) {
             self.cancel_call(now, reason, out);
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Whether requests that wait while the list is stale are held for a call that may show that it is still valid.
-    /// Makes that call if none is open.
+    /// Whether waiting requests are held although the list is stale, because a call to discovery may show that the list
+    /// is still valid. Makes that call if none is open.
     pub(super) fn revalidate_list(&mut self, now: Millis, out: &mut Vec<Action>) -> bool {
         if self.queues.waiting() == 0 || !refusal_extends_validity(&self.subscription, &self.settings) {
             return false;
@@ -106,15 +106,17 @@
         }
     }
 
+    /// Records that a call has confirmed the list, or sent it up to `version`. Cancels the watch at discovery's former
+    /// address once it is no longer needed.
     fn record_received(
         &mut self, call: CallId, read_at: Millis, version: Option<u64>, out: &mut Vec<Action>,
     ) {
-        if let Some(former) = self.subscription.received(call, read_at, version) {
-            out.push(Action::Unsubscribe { call: former, reason: CancelReason::Moved });
+        if let Some(superseded) = self.subscription.received(call, read_at, version) {
+            out.push(Action::Unsubscribe { call: superseded, reason: CancelReason::Moved });
         }
     }
 
-    /// Schedules the next call after one that has ended.
+    /// Schedules the next call to discovery after the previous one has ended.
     fn schedule_call(&mut self, now: Millis) {
         let uniform = self.rng.f64();
         let at = retry_at(now, &self.subscription, &self.settings, uniform);
@@ -125,17 +127,17 @@
         self.settings.notification_bounds.unwrap_or_default()
     }
 
-    /// The version of the list that is held; `None` if discovery has sent none.
+    /// The version of the current endpoint list; `None` if discovery has not sent one.
     pub fn list_version(&self) -> Option<u64> {
         self.subscription.version()
     }
 
-    /// When discovery last sent, or confirmed, the list that is held; `None` if it has sent none.
+    /// When discovery last sent or confirmed the current endpoint list; `None` if discovery has not sent one.
     pub fn list_confirmed_at(&self) -> Option<Millis> {
         self.subscription.confirmed_at()
     }
 
-    /// Whether an update of the list would be applied.
+    /// Whether an update with that call and version would be applied to the endpoint list.
     pub fn admits_update(&self, call: CallId, version: u64, complete: bool) -> bool {
         self.subscription.admission(call, version, complete) == Admission::Apply
     }
--- a/crates/core/src/balancer/dispatch.rs
+++ b/crates/core/src/balancer/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends waiting requests, and sheds those beyond the limit.
+//! Sends waiting requests to endpoints, and sheds load beyond the limit of open requests.
 
 use super::Balancer;
 use super::selection::{Selection, Selector};
@@ -7,18 +7,18 @@
 use crate::ids::{Millis, RequestId};
 use crate::requests::QueueIndex;
 
-/// Requests looked at in vain before the queues are left for now.
-const MAX_LOOKS: usize = 6;
+/// Number of requests that a dispatch may examine without sending them before it ends.
+const MAX_FAILED_SELECTIONS: usize = 6;
 
-/// The request that is next in a queue.
-struct Next {
+/// The waiting request at the cursor of a queue.
+struct NextRequest {
     queue: QueueIndex,
     position: usize,
     id: RequestId,
     urgency: f64,
 }
 
-/// From which position on each queue is looked at; `None` for a queue that is passed over.
+/// The position in each queue at which the search for the next request starts; `None` for a queue that is skipped.
 struct Cursors(Vec<Option<usize>>);
 
 impl Cursors {
@@ -30,7 +30,7 @@
         self.0[queue.as_usize()]
     }
 
-    fn skip_request(&mut self, next: &Next) {
+    fn skip_request(&mut self, next: &NextRequest) {
         self.0[next.queue.as_usize()] = Some(next.position + 1);
     }
 
@@ -40,7 +40,7 @@
 }
 
 impl Balancer {
-    /// Sends waiting requests while the threshold lets them go, the most urgent first.
+    /// Sends waiting requests, the most urgent first, as far as the threshold and the available endpoints allow.
     pub(super) fn dispatch(&mut self, now: Millis, out: &mut Vec<Action>) {
         if now >= self.list_valid_until() {
             if !self.revalidate_list(now, out) {
@@ -49,17 +49,17 @@
             return;
         }
         let mut cursors = Cursors::new(self.queues.len());
-        let mut looks = MAX_LOOKS;
-        while self.queues.waiting() > 0 && looks > 0 && self.may_send_more() {
+        let mut selections_left = MAX_FAILED_SELECTIONS;
+        while self.queues.waiting() > 0 && selections_left > 0 && self.may_send_more() {
             let Some(next) = self.next_waiting(now, &cursors) else { return };
             if let Some(endpoint) = self.select(now, next.id) {
                 self.queues.remove(next.queue, next.position);
                 self.send(now, next.id, endpoint, out);
                 continue;
             }
-            looks -= 1;
-            // A queue whose first request is held is passed over: those behind it are no more urgent. Only with
-            // affinity or after an attempt do requests differ in where they may go.
+            selections_left -= 1;
+            // Requests without affinity and without attempts may all go to the same endpoints. If one of them can't be
+            // sent now, the rest of its queue is skipped too, because the requests behind it are no more urgent.
             let request = &self.requests[next.id];
             if request.spec.affinity_endpoint.is_some() || !request.attempts.is_empty() {
                 cursors.skip_request(&next);
@@ -69,28 +69,28 @@
         }
     }
 
-    /// Whether another request may be in flight.
+    /// Whether the concurrency limit allows another request in flight.
     fn may_send_more(&self) -> bool {
         !self.shares_all_endpoints() || self.requests.running().len() < self.concurrency.window()
     }
 
-    /// The most urgent of the requests that are next in their queues.
-    fn next_waiting(&mut self, now: Millis, cursors: &Cursors) -> Option<Next> {
-        let mut best: Option<Next> = None;
+    /// The most urgent of the requests at the cursors of the queues.
+    fn next_waiting(&mut self, now: Millis, cursors: &Cursors) -> Option<NextRequest> {
+        let mut best: Option<NextRequest> = None;
         for queue in self.queues.indices() {
             let Some(position) = cursors.position(queue) else { continue };
             let Some(id) = self.queues.waiting_at(queue, position, &self.requests) else { continue };
             let urgency = self.priorities().urgency(&self.requests[id], now);
             if best.as_ref().is_none_or(|best| urgency > best.urgency) {
-                best = Some(Next { queue, position, id, urgency });
+                best = Some(NextRequest { queue, position, id, urgency });
             }
         }
         best
     }
 
-    /// The endpoint to which a request is sent now; `None` if it is held.
+    /// Selects the endpoint to which a request is sent now; `None` if the request keeps waiting.
     fn select(&mut self, now: Millis, id: RequestId) -> Option<EndpointIndex> {
-        // The selector borrows all components, so it draws from a copy that is put back.
+        // The selector borrows all components, so it uses a copy of the random generator, which is stored back.
         let mut rng = self.rng.clone();
         let Selection { endpoint, decision } = self.selector(now).select(id, &mut rng);
         self.rng = rng;
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Sends requests whose key has its affinity with an endpoint while that may get more, the most urgent first.
+    /// Sends waiting requests to their affinity endpoint, the most urgent first, while the endpoint is available to
+    /// them.
     pub(super) fn dispatch_affinity(&mut self, now: Millis, endpoint: EndpointIndex, out: &mut Vec<Action>) {
         if now >= self.list_valid_until() {
             return;
@@ -130,7 +131,7 @@
         }
     }
 
-    /// The most urgent request that waits for an endpoint by affinity and may be sent there now.
+    /// The most urgent of the requests waiting for their affinity endpoint that may be sent there now.
     fn next_with_affinity(&self, now: Millis, endpoint: EndpointIndex) -> Option<RequestId> {
         let selector = self.selector(now);
         let may_be_sent = |id: &RequestId| {
@@ -146,17 +147,17 @@
         })
     }
 
-    /// Gives up what waits beyond the requests that may be open, those with the lowest weight first and among their
-    /// like the last to come, which would wait longest.
+    /// Gives up waiting requests while more requests are open than the limit allows: those with the lowest weight per
+    /// unit of work first, and in each queue the last one first, because it would wait longest.
     pub(super) fn shed_load(&mut self, out: &mut Vec<Action>) {
         let max = self.settings.limits.max_open_requests;
         while self.queues.waiting() > 0 && self.requests.has_more_unanswered_than(max) {
-            let Some(id) = self.lightest_waiting() else { return };
-            self.answer(id, RejectionReason::Overload, out);
+            let Some(id) = self.lowest_weight_waiting() else { return };
+            self.reject_or_fail(id, RejectionReason::Overload, out);
         }
     }
 
-    fn lightest_waiting(&self) -> Option<RequestId> {
+    fn lowest_weight_waiting(&self) -> Option<RequestId> {
         let priorities = self.priorities();
         let weight = |id: &RequestId| priorities.weight_per_work(&self.requests[*id]);
         let last_of_queues = self
@@ -166,13 +167,14 @@
         last_of_queues.min_by(|left, right| weight(left).total_cmp(&weight(right)))
     }
 
-    /// Rejects all that wait: any endpoint may be draining, and it is not known which.
+    /// Gives up all waiting requests while the endpoint list is stale: any endpoint may be draining, and this proxy
+    /// does not know which.
     fn reject_waiting(&mut self, out: &mut Vec<Action>) {
         let queued: Vec<RequestId> =
             self.queues.indices().flat_map(|queue| self.queues.iter(queue)).collect();
         for id in queued {
             if self.requests.is_waiting(id) {
-                self.answer_stale_list(id, out);
+                self.reject_or_fail_stale(id, out);
             }
         }
         self.queues.retain_waiting(&self.requests);
--- a/crates/core/src/balancer/endpoint_updates.rs
+++ b/crates/core/src/balancer/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! What follows for an endpoint from a list, from time, and from its load.
+//! Updates the derived state of endpoints (slots, speed, eligibility) after changes of the list, of time or of load.
 
 use super::Balancer;
 use crate::endpoint::Endpoint;
@@ -7,23 +7,24 @@
 use crate::ids::{EndpointId, Millis};
 use crate::slow_start::{SlowStartShare, slow_start_factor};
 
-/// Tiers by which another proxy's slot counts slower, as both may take it at once.
-const BORROWED_TIERS: usize = 3;
-/// Idle capacity from which on a slot of another proxy may be borrowed.
+/// Number of speed tiers by which a slot owned by another proxy counts as slower, because both proxies may use it at
+/// once.
+const BORROW_TIER_PENALTY: usize = 3;
+/// Idle capacity of an endpoint, in requests, above which a request may be sent beyond this proxy's own slots.
 const MIN_IDLE_CAPACITY: f64 = 0.5;
-/// Lower bound of an endpoint's capacity where it is divided by.
+/// Lower bound of an endpoint's capacity in rendezvous hashing, which divides by the capacity.
 const MIN_HASH_CAPACITY: f64 = 1e-6;
 
-/// Whether an endpoint may be sent requests, and how fast it counts.
+/// Which requests an endpoint may be sent at present.
 struct Eligibility {
-    /// A request with affinity may be sent.
+    /// Requests whose key has affinity with the endpoint may be sent.
     available: bool,
-    /// The tier in which it is open for requests without affinity.
+    /// The speed tier in which the endpoint is open for requests without affinity; `None` if it is not open.
     open_tier: Option<TierIndex>,
 }
 
 impl Balancer {
-    /// Takes in the entries of a list, and what follows from them for each endpoint.
+    /// Records the entries of an endpoint list and updates the endpoints that they concern.
     pub(super) fn apply_list(&mut self, now: Millis, complete: bool, entries: Vec<Endpoint>) {
         let classes = self.settings.classes.len();
         let recorded = self.endpoints.record_list(now, complete, entries, classes, &mut self.overrides);
@@ -35,7 +36,7 @@
         }
     }
 
-    /// A new process warms up, and nothing is held against it.
+    /// Starts slow start for an endpoint whose process is new, and clears its record of failures.
     fn start_slow_start_if_restarted(&mut self, endpoint: EndpointIndex, now: Millis) {
         let entry = &mut self.endpoints[endpoint];
         if std::mem::take(&mut entry.restarted) {
@@ -44,8 +45,8 @@
         }
     }
 
-    /// Endpoints have started later than was known. Those that were taken to be warm and are not get what a new process
-    /// gets; what has been seen of them stands.
+    /// Corrects the start times of endpoints that started later than the list said. Slow start begins for an endpoint
+    /// that counted as warm but is not. Unlike after a restart, its record of failures is kept.
     pub(super) fn correct_start_times(&mut self, now: Millis, starts: &[(EndpointId, Millis)]) {
         for &(id, started_at) in starts {
             let Some(endpoint) = self.endpoints.find(id) else { continue };
@@ -68,7 +69,7 @@
         slow_start_factor(started_at, now, &self.settings.limits)
     }
 
-    /// Refills the budget of an endpoint in slow start.
+    /// Refills the send budget of an endpoint in slow start.
     pub(super) fn refill_slow_start(&mut self, endpoint: EndpointIndex, now: Millis) {
         let factor = self.slow_start_factor(endpoint, now);
         let entry = &self.endpoints[endpoint];
@@ -84,7 +85,7 @@
         entry.slow_start.refill(now, factor, started_at, &share, &self.settings.limits);
     }
 
-    /// Computes anew how many requests an endpoint may hold, and which part of them is this proxy's own.
+    /// Recomputes how many requests an endpoint may hold, and how many of these slots this proxy owns.
     pub(super) fn update_slots(&mut self, endpoint: EndpointIndex) {
         let shares_all_endpoints = self.shares_all_endpoints();
         let sharing = self.sharing();
@@ -98,7 +99,7 @@
         self.latency.machine_class_mut(entry.machine_class).set_cores(cores);
     }
 
-    /// Computes anew how fast an endpoint is.
+    /// Recomputes how fast an endpoint is, and its speed tier.
     pub(super) fn update_speed(&mut self, endpoint: EndpointIndex, now: Millis) {
         let factor = self.slow_start_factor(endpoint, now);
         let speed = self.latency.speed_of(&self.endpoints[endpoint], factor, &self.settings);
@@ -110,7 +111,7 @@
         self.update_eligibility(endpoint, now);
     }
 
-    /// Computes anew whether an endpoint is open, and for which requests.
+    /// Recomputes which requests an endpoint may be sent, and files it among the speed tiers accordingly.
     pub(super) fn update_eligibility(&mut self, endpoint: EndpointIndex, now: Millis) {
         let entry = &self.endpoints[endpoint];
         let is_usable = self.outliers.is_usable(entry, now);
@@ -134,7 +135,7 @@
         let min_slots = if self.settings.key_affinity { 1.0 } else { 0.0 };
         let has_own_slot = may_send && f64::from(entry.load.own) < own_slots.max(min_slots);
         if !self.settings.gossip_enabled {
-            // Nothing is known of the others' load: only what is surely this proxy's own.
+            // The load of the other proxies is unknown, so this proxy uses only its own slots.
             return Eligibility { available: has_own_slot, open_tier: has_own_slot.then_some(entry.tier) };
         }
         let capacity = entry.present_capacity();
@@ -145,12 +146,13 @@
         let may_borrow = has_idle_slot && self.may_borrow(endpoint, concurrency);
         Eligibility {
             available: has_idle_slot,
-            open_tier: may_borrow.then(|| entry.tier.slower_by(BORROWED_TIERS)),
+            open_tier: may_borrow.then(|| entry.tier.slower_by(BORROW_TIER_PENALTY)),
         }
     }
 
-    /// Whether this proxy may use an idle slot of another one. All proxies see the same idle slots; each may borrow at
-    /// a random part of the endpoints only, drawn anew in each review interval, so that about one comes for each slot.
+    /// Whether this proxy may use an idle slot that another proxy owns. All proxies see the same idle slots. So that
+    /// about one proxy uses each slot, a proxy may borrow only at a random part of the endpoints, which changes with
+    /// each review interval.
     fn may_borrow(&self, endpoint: EndpointIndex, concurrency: f64) -> bool {
         let entry = &self.endpoints[endpoint];
         let probability = self.sharing().borrow_probability(entry, concurrency);
--- a/crates/core/src/balancer/gauges.rs
+++ b/crates/core/src/balancer/gauges.rs
@@ -1,4 +1,4 @@
-//! What holds in a proxy's decisions at present, for metrics.
+//! A snapshot of a proxy's state for metrics.
 
 use super::Balancer;
 use crate::decision::DecisionCounts;
@@ -7,27 +7,27 @@
 use crate::ids::Millis;
 use crate::invariant::Violations;
 
-/// What holds at one moment.
+/// The state of a proxy at one moment, with its counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Gauges {
-    /// Listed endpoints by how they are treated, in the order of [`EndpointStatus::ALL`].
+    /// The number of listed endpoints with each status, in the order of [`EndpointStatus::ALL`].
     pub endpoints_by_status: [usize; EndpointStatus::ALL.len()],
-    /// Whether requests may be sent by the endpoint list that is held.
+    /// Whether the current endpoint list is still valid, so that requests may be sent by it.
     pub list_valid: bool,
-    /// Requests in the proxy's own queue.
+    /// The number of requests waiting in the proxy's queues.
     pub waiting: usize,
-    /// Requests with an attempt in flight.
+    /// The number of requests with an attempt that has not ended.
     pub running: usize,
-    /// Retries that the retry budget allows.
+    /// The number of retries that the retry budget still allows.
     pub retry_budget: f64,
-    /// What the threshold has decided.
+    /// How often the two-speed threshold made each decision.
     pub decisions: DecisionCounts,
-    /// How often a decision would have broken an invariant.
+    /// How often a send was prevented because it would have broken an invariant.
     pub violations: Violations,
 }
 
 impl Balancer {
-    /// What holds now. Its cost grows with the endpoints listed.
+    /// The state of the proxy now. The cost of the call grows with the number of endpoints.
     pub fn gauges(&self, now: Millis) -> Gauges {
         let mut endpoints_by_status = [0; EndpointStatus::ALL.len()];
         for entry in self.endpoints.iter().filter(|entry| entry.is_listed()) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// How a listed endpoint is treated now.
+    /// The current status of a listed endpoint.
     fn status(&self, entry: &EndpointEntry, now: Millis) -> EndpointStatus {
         if self.overrides.is_in_maintenance(entry.listed.id) {
             EndpointStatus::Maintenance
--- a/crates/core/src/balancer/housekeeping.rs
+++ b/crates/core/src/balancer/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What is done as time passes.
+//! Periodic work: the tick, and the review of all endpoints every few ticks.
 
 use super::{Balancer, PERIODIC_TIMER};
 use crate::actions::Action;
@@ -6,7 +6,8 @@
 use crate::schedule::TICK;
 
 impl Balancer {
-    /// Looks after waiting and running requests, and now and then after all endpoints.
+    /// Handles a tick of the periodic timer: expires waiting requests, checks running ones, reviews all endpoints if
+    /// that is due, checks the call to discovery, and publishes gossip.
     pub(super) fn tick(&mut self, now: Millis, out: &mut Vec<Action>) {
         out.push(Action::Timer { token: PERIODIC_TIMER, at: now + TICK });
         self.schedule.advance();
@@ -15,16 +16,16 @@
         self.expire_waiting(now, out);
         for position in (0..self.requests.running().len()).rev() {
             let id = self.requests.running()[position];
-            self.watch_running(now, id, out);
+            self.check_running(now, id, out);
         }
         if self.schedule.is_review_due() {
-            self.review(now);
+            self.review_endpoints(now);
         }
-        self.follow_discovery(now, out);
+        self.update_discovery_call(now, out);
         self.publish_gossip(now, out);
     }
 
-    /// Brings counters up to date: arrival rate, quotas, slots of abandoned attempts, reports of peers.
+    /// Updates what changes with time alone: arrival rate, quotas, slots of abandoned attempts, reports of peers.
     fn update_counters(&mut self, now: Millis) {
         self.arrivals.update(now);
         self.quotas.refill(TICK, &self.settings);
@@ -35,12 +36,13 @@
         self.expire_reports(now);
     }
 
-    /// Reviews all endpoints: slots, budgets in slow start, ejections that end, how many look unhealthy.
-    fn review(&mut self, now: Millis) {
+    /// Reviews all endpoints: updates slots, slow-start budgets, speeds, ended ejections, and how many endpoints look
+    /// unhealthy.
+    fn review_endpoints(&mut self, now: Millis) {
         self.latency.normalize(&mut self.endpoints);
         self.latency.update_mean();
         self.concurrency.update_mean_capacity(&self.endpoints);
-        self.follow_unheard_load();
+        self.update_unheard_load();
         self.latency.review_baselines();
         self.reclaim_endpoints(now);
         self.outliers.review(&self.endpoints, now);
@@ -53,14 +55,15 @@
         }
     }
 
-    /// Gives up the records of endpoints that have been removed, once no request, slot or peer refers to them.
+    /// Frees the records of removed endpoints to which no request, abandoned attempt or peer report refers any more.
     fn reclaim_endpoints(&mut self, now: Millis) {
-        let of_requests = self.requests.referenced_endpoints();
-        let of_peers = self.gossip.referenced_endpoints();
-        let of_abandoned = self.abandoned.endpoints();
-        let reclaimable = self.endpoints.reclaimable(of_requests.chain(of_peers).chain(of_abandoned));
+        let used_by_requests = self.requests.referenced_endpoints();
+        let used_by_peers = self.gossip.referenced_endpoints();
+        let used_by_abandoned = self.abandoned.endpoints();
+        let reclaimable =
+            self.endpoints.reclaimable(used_by_requests.chain(used_by_peers).chain(used_by_abandoned));
         for endpoint in reclaimable {
-            self.update_eligibility(endpoint, now); // takes it out of its tier
+            self.update_eligibility(endpoint, now); // removes the endpoint from its speed tier
             self.endpoints.reclaim(endpoint);
         }
     }
--- a/crates/core/src/balancer/mod.rs
+++ b/crates/core/src/balancer/mod.rs
@@ -1,4 +1,5 @@
-//! The decisions of one proxy: components that each own a part of the state, and the steps that hand events to them.
+//! The balancer of one proxy: it dispatches events to components that each own a part of the state, and returns the
+//! resulting actions.
 
 mod answers;
 mod arrivals;
@@ -34,13 +35,13 @@
 use arrivals::NewRequest;
 use attempts::AttemptEnd;
 
-/// The token of the periodic timer; a request's own timer has the request's number plus one.
+/// Token of the periodic timer. The token of a request's own timer is the request id plus one.
 const PERIODIC_TIMER: u64 = 0;
 
-/// The decisions of one proxy: hand it what the proxy sees with [`Balancer::handle`] and carry out what it returns.
+/// Makes the decisions of one proxy. Pass each event to [`Balancer::handle`] and carry out the actions that it appends.
 pub struct Balancer {
     settings: Settings,
-    /// A class on offer is idempotent.
+    /// At least one class on offer is always idempotent.
     has_idempotent_class: bool,
     rng: fastrand::Rng,
     schedule: Schedule,
@@ -66,7 +67,7 @@
 }
 
 impl Balancer {
-    /// Starts a proxy that knows nothing yet; `seed` is the only source of chance.
+    /// Creates a balancer without endpoints and without learned state. All its random choices derive from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let classes = settings.classes.len();
         Balancer {
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done, in order. `now` never runs backwards.
+    /// Handles one event and appends the resulting actions to `out`, in the order in which they have to be carried out.
+    /// `now` must never decrease from one call to the next.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         if !self.schedule.is_started() {
             self.start(now, out);
@@ -122,10 +124,10 @@
             Event::ClientClosed(request) => self.finish(request),
             Event::Timer(PERIODIC_TIMER) => self.tick(now, out),
             Event::Timer(token) => {
-                self.answer(RequestId(token - 1), RejectionReason::TooLate, out);
+                self.reject_or_fail(RequestId(token - 1), RejectionReason::TooLate, out);
             }
             Event::Gossip { from, bytes } => {
-                // Waiting requests are looked at with the next event of another kind.
+                // Gossip does not trigger a dispatch: waiting requests are examined at the next event of another kind.
                 return self.handle_gossip(now, from as usize, &bytes);
             }
         }
@@ -133,7 +135,7 @@
         self.shed_load(out);
     }
 
-    /// Starts the clocks of all components with the first event.
+    /// Initializes the times of all components at the first event, and sets the first periodic timer.
     fn start(&mut self, now: Millis, out: &mut Vec<Action>) {
         self.schedule.advance();
         self.arrivals.start(now);
@@ -143,17 +145,17 @@
         out.push(Action::Timer { token: PERIODIC_TIMER, at: first_tick });
     }
 
-    /// Until when requests may be sent by the endpoint list that is held.
+    /// The time from which requests may no longer be sent by the current endpoint list.
     pub fn list_valid_until(&self) -> Millis {
         list_valid_until(&self.subscription, &self.settings)
     }
 
-    /// How often a decision would have broken an invariant; none was carried out.
+    /// How often a send would have broken each invariant. None of these sends was carried out.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
 
-    /// How many endpoint records there is room for, vacant ones included.
+    /// The number of endpoint records, vacant ones included.
     pub fn endpoint_table_len(&self) -> usize {
         self.endpoints.len()
     }
--- a/crates/core/src/balancer/operators.rs
+++ b/crates/core/src/balancer/operators.rs
@@ -1,4 +1,4 @@
-//! What operators do to a proxy that runs: maintenance of an endpoint, other settings.
+//! Operator actions on a running proxy: endpoint maintenance and reconfiguration.
 
 use super::{Balancer, is_idempotent};
 use crate::events::Reconfiguration;
@@ -6,7 +6,7 @@
 use crate::settings::Settings;
 
 impl Balancer {
-    /// Takes an endpoint out of service or puts it back, however often that is said.
+    /// Takes an endpoint out of service or puts it back. Repeating the same command has no further effect.
     pub(super) fn handle_maintenance(&mut self, now: Millis, id: EndpointId, enabled: bool) {
         if enabled {
             self.overrides.start_maintenance(id, now);
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Takes other settings, but for those that need a restart: the index of this proxy, and how lists and gossip reach
-    /// it. A class with another one's number starts with what was learned there.
+    /// Applies new settings, except those that need a restart: index and zone of this proxy, the number of proxies, and
+    /// how endpoint lists and gossip arrive. A class starts with the statistics of the class that it inherits from.
     pub(super) fn reconfigure(&mut self, reconfiguration: Reconfiguration) {
         let Reconfiguration { settings, inherits_from, offered } = reconfiguration;
         let classes = &settings.classes;
@@ -50,7 +50,7 @@
         };
     }
 
-    /// Endpoints in maintenance.
+    /// The endpoints in maintenance.
     pub fn endpoints_in_maintenance(&self) -> Vec<EndpointId> {
         self.overrides.endpoints_in_maintenance()
     }
--- a/crates/core/src/balancer/peers.rs
+++ b/crates/core/src/balancer/peers.rs
@@ -1,4 +1,4 @@
-//! Gossip: reports of other proxies come and expire, and this one's are published.
+//! Gossip: applies and expires the reports of other proxies, and publishes this proxy's own.
 
 use super::Balancer;
 use crate::actions::Action;
@@ -7,23 +7,23 @@
 use crate::ids::Millis;
 
 impl Balancer {
-    /// Takes in a message of another proxy, in place of its last one.
-    pub(super) fn handle_gossip(&mut self, now: Millis, from: usize, bytes: &[u8]) {
-        if !self.gossip.is_member(from) {
+    /// Applies the report in a message from another proxy, which replaces the previous report of that proxy.
+    pub(super) fn handle_gossip(&mut self, now: Millis, peer: usize, bytes: &[u8]) {
+        if !self.gossip.is_member(peer) {
             return;
         }
         let Some(message) = Message::decode(bytes, &self.endpoints) else { return };
-        let mut changed = self.retract_report(from);
+        let mut changed = self.retract_report(peer);
         let report = PeerReport::new(now, &message, &self.endpoints);
         report.apply(&mut self.endpoints);
         changed.extend(report.loaded_endpoints());
         for endpoint in changed {
             self.update_eligibility(endpoint, now);
         }
-        self.gossip.store(from, message.zone, report);
+        self.gossip.store(peer, message.zone, report);
     }
 
-    /// Forgets reports that no longer count.
+    /// Removes reports that have expired.
     pub(super) fn expire_reports(&mut self, now: Millis) {
         for peer in self.gossip.peers() {
             if !self.gossip.is_expired(peer, now) {
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Forgets the last report of a peer; returns the endpoints whose load it counted in.
+    /// Removes the last report of a peer; returns the endpoints to which it reported load.
     fn retract_report(&mut self, peer: usize) -> Vec<EndpointIndex> {
         let report = self.gossip.retract(peer, &mut self.endpoints);
         report.map_or_else(Vec::new, |report| report.loaded_endpoints().collect())
     }
 
-    /// Follows what the other proxies have in flight, for as long as none of them is heard.
-    pub(super) fn follow_unheard_load(&mut self) {
+    /// Updates the estimate of the load of the other proxies that is used while no gossip of them arrives.
+    pub(super) fn update_unheard_load(&mut self) {
         let view = FleetView {
             active_proxies: self.sharing().active_proxies(),
             reporting_peers: self.gossip.reporting_peers(),
@@ -51,7 +51,7 @@
         self.unheard_load.update(&self.endpoints, &view);
     }
 
-    /// Reports this proxy's load to the others, as often as its budget of bytes allows.
+    /// Reports this proxy's load to the other proxies, as often as the gossip budget allows.
     pub(super) fn publish_gossip(&mut self, now: Millis, out: &mut Vec<Action>) {
         let attempts = self.requests.running().len() + self.abandoned.len();
         let draining = self.overrides.draining;
--- a/crates/core/src/balancer/selection.rs
+++ b/crates/core/src/balancer/selection.rs
@@ -1,6 +1,6 @@
-//! Hold or send: the two-speed threshold, and the endpoint that a request is sent to.
+//! Decides whether a waiting request is sent or held, by the two-speed threshold, and selects its endpoint.
 
-use super::answers::ANSWER_MARGIN;
+use super::answers::FINAL_RESPONSE_MARGIN;
 use super::is_idempotent;
 use crate::decision::Decision;
 use crate::endpoints::{EndpointEntry, EndpointIndex, EndpointTable, SpeedTier, SpeedTiers, TierIndex};
@@ -14,18 +14,19 @@
 use crate::settings::Settings;
 use crate::threshold::threshold;
 
-/// Endpoints of a tier that are tried at random before the next tier.
+/// Largest number of open endpoints of a speed tier that are examined, from a random position on, before the search
+/// continues with the next tier.
 const MAX_PROBES: usize = 8;
-/// Faster slots below which there is nothing to wait for.
+/// A request does not wait for faster endpoints on which this proxy owns fewer slots than this.
 const MIN_FASTER_SLOTS: f64 = 0.01;
-/// Expected latencies before its latency objective from which on a request is urgent.
+/// A request becomes urgent at this multiple of its expected latency, plus a margin, before its latency objective.
 const URGENT_FACTOR: f64 = 1.5;
 
-/// What is decided for a waiting request.
+/// The result of the selection for a waiting request.
 pub(super) struct Selection {
-    /// Where it is sent; `None` if it is held.
+    /// The endpoint to which the request is sent; `None` if it keeps waiting.
     pub endpoint: Option<EndpointIndex>,
-    /// What the threshold decided, if it was asked.
+    /// The decision of the two-speed threshold; `None` if the threshold did not apply.
     pub decision: Option<Decision>,
 }
 
@@ -34,7 +35,7 @@
         Selection { endpoint, decision: None }
     }
 
-    fn of(decision: Decision, endpoint: EndpointIndex) -> Self {
+    fn from_decision(decision: Decision, endpoint: EndpointIndex) -> Self {
         let endpoint = (decision != Decision::Held).then_some(endpoint);
         Selection { endpoint, decision: Some(decision) }
     }
@@ -44,7 +45,7 @@
 #[derive(Default)]
 struct FasterSlots {
     count: f64,
-    /// Sum of their speeds.
+    /// Sum of the speeds of these slots, relative to the mean speed of all endpoints.
     throughput: f64,
 }
 
@@ -54,24 +55,24 @@
         self.throughput += slots * speed;
     }
 
-    /// The part of them that a class may use.
+    /// The fraction of these slots that a class may use.
     fn scaled(&self, fraction: f64) -> FasterSlots {
         FasterSlots { count: self.count * fraction, throughput: self.throughput * fraction }
     }
 }
 
-/// A request for which an endpoint is sought.
+/// A waiting request for which an endpoint is selected.
 struct Candidate<'a> {
     request: &'a Request,
-    /// The endpoint that its key has its affinity with, unless it has been tried there.
+    /// The affinity endpoint of the request's key, unless an attempt has already gone there.
     affinity_endpoint: Option<EndpointIndex>,
-    /// Whether endpoints on probation may be sent this request.
-    may_probe: bool,
-    /// Its latency objective is near: it is sent to any open endpoint.
+    /// The request may be sent to any endpoint on probation.
+    allows_probation: bool,
+    /// The latency objective is so near that the request is sent to any open endpoint.
     is_urgent: bool,
 }
 
-/// The components from which the endpoint of a request follows.
+/// Selects endpoints for requests, from the state of the components that it borrows.
 pub(super) struct Selector<'a> {
     pub now: Millis,
     /// The number of the current review interval.
@@ -89,7 +90,8 @@
 }
 
 impl Selector<'_> {
-    /// The endpoint to which a request is sent now, if it is not held: the D policy of the paper.
+    /// Selects the endpoint to which a request is sent now, or holds the request: the D policy of the paper by Shenker
+    /// and Weinrib.
     pub fn select(&self, id: RequestId, rng: &mut fastrand::Rng) -> Selection {
         let Some(request) = self.requests.get(id) else { return Selection::without_threshold(None) };
         let class = &self.settings.classes[request.spec.class];
@@ -99,8 +101,8 @@
         let candidate = self.candidate(request);
         let mut faster = FasterSlots::default();
         for (tier_index, tier) in self.tiers.iter() {
-            let first = if tier.open.len() > 1 { rng.usize(0..tier.open.len()) } else { 0 };
-            if let Some(endpoint) = self.find_open(&candidate, tier, first) {
+            let start = if tier.open.len() > 1 { rng.usize(0..tier.open.len()) } else { 0 };
+            if let Some(endpoint) = self.find_open(&candidate, tier, start) {
                 return match candidate.affinity_endpoint {
                     Some(affinity) => self.decide_with_affinity(id, &candidate, affinity, endpoint, tier),
                     None => self.decide(&candidate, endpoint, tier, &faster),
@@ -112,15 +114,18 @@
         Selection::without_threshold(affinity.filter(|&endpoint| self.is_admitted(endpoint, id)))
     }
 
-    /// A request that may have run is sent again only where its repeat is dropped, and only while it is.
+    /// Selects an endpoint for a retry of a request that may have run: only an endpoint that recognizes and drops the
+    /// repeat, and only within the deduplication window.
     fn select_for_repeat(&self, request: &Request, window: RepeatWindow) -> Option<EndpointIndex> {
         if self.now >= window.until {
             return None;
         }
-        let first = &self.endpoints[window.first];
+        let first_endpoint = &self.endpoints[window.first];
         let is_suitable = |endpoint: &EndpointIndex| {
             let entry = &self.endpoints[*endpoint];
-            entry.deduplicates(first, window.scope) && entry.is_open() && self.is_eligible(*endpoint, request)
+            entry.deduplicates(first_endpoint, window.scope)
+                && entry.is_open()
+                && self.is_eligible(*endpoint, request)
         };
         let cost = |endpoint: &EndpointIndex| self.endpoints[*endpoint].cost;
         let suitable = self.endpoints.indices().filter(is_suitable);
@@ -129,21 +134,23 @@
 
     fn candidate<'r>(&self, request: &'r Request) -> Candidate<'r> {
         let class = &self.settings.classes[request.spec.class];
-        let lead = URGENT_FACTOR * self.expected_latency(request) + ANSWER_MARGIN + 2.0 * TICK;
+        let urgency_lead =
+            URGENT_FACTOR * self.expected_latency(request) + FINAL_RESPONSE_MARGIN + 2.0 * TICK;
         Candidate {
             request,
             affinity_endpoint: request
                 .spec
                 .affinity_endpoint
                 .filter(|&endpoint| !request.has_tried(endpoint)),
-            may_probe: is_idempotent(class) || !self.has_idempotent_class,
-            is_urgent: request.spec.objective_at - self.now < lead,
+            allows_probation: is_idempotent(class) || !self.has_idempotent_class,
+            is_urgent: request.spec.objective_at - self.now < urgency_lead,
         }
     }
 
-    /// An open endpoint of a tier that suits a request. Ties are broken at random, from the position `first` on; with a
-    /// key by its hash, so that what overflows meets the same endpoint again too.
-    fn find_open(&self, candidate: &Candidate, tier: &SpeedTier, first: usize) -> Option<EndpointIndex> {
+    /// Finds a suitable open endpoint in a speed tier. Without affinity the search starts at `start`, which the
+    /// caller draws at random. With affinity it follows the hash of the key, so that requests of one key which don't go
+    /// to their affinity endpoint share another endpoint.
+    fn find_open(&self, candidate: &Candidate, tier: &SpeedTier, start: usize) -> Option<EndpointIndex> {
         let is_suitable = |endpoint: &EndpointIndex| self.is_suitable(*endpoint, candidate);
         if candidate.affinity_endpoint.is_some() {
             let key = candidate.request.spec.key;
@@ -152,7 +159,7 @@
             return suitable.min_by(|left, right| score(left).total_cmp(&score(right)));
         }
         let probes = tier.open.len().min(MAX_PROBES);
-        let mut probed = (0..probes).map(|offset| tier.open[(first + offset) % tier.open.len()]);
+        let mut probed = (0..probes).map(|offset| tier.open[(start + offset) % tier.open.len()]);
         probed.find(is_suitable)
     }
 
@@ -165,18 +172,20 @@
             && self.is_eligible(endpoint, candidate.request)
     }
 
-    /// An endpoint on probation is tried with idempotent requests, if there are any, unless it is them that it leaves
-    /// unanswered.
+    /// Whether probation allows a request to be sent to an endpoint. An endpoint on probation gets only idempotent
+    /// requests if a class of these is on offer. It gets all requests if it is on probation for an idempotent class,
+    /// because it may be just the idempotent requests that it leaves unanswered.
     fn may_send_on_probation(&self, entry: &EndpointEntry, candidate: &Candidate) -> bool {
-        if candidate.may_probe || !entry.outlier.is_on_probation() || self.outliers.is_in_panic_mode() {
+        if candidate.allows_probation || !entry.outlier.is_on_probation() || self.outliers.is_in_panic_mode()
+        {
             return true;
         }
         let mut classes = self.settings.classes.iter().enumerate();
         classes.any(|(class, rules)| is_idempotent(rules) && entry.outlier.is_on_probation_for_class(class))
     }
 
-    /// Whether an endpoint may be sent a request: for the first time, not ejected for its class, and nothing heavy
-    /// while it warms up.
+    /// Whether an endpoint may be sent a request: no earlier attempt went there, the endpoint is not ejected for the
+    /// request's class, and the request is not too heavy for an endpoint that warms up.
     pub fn is_eligible(&self, endpoint: EndpointIndex, request: &Request) -> bool {
         let entry = &self.endpoints[endpoint];
         let class = request.spec.class;
@@ -190,21 +199,22 @@
         !request.has_tried(endpoint) && !is_ejected && !is_too_heavy
     }
 
-    /// The own slots of a tier whose endpoints may come free for a request: where it has been tried it is not sent
-    /// again.
+    /// The own slots of a speed tier that a request can wait for: all but those on endpoints to which an earlier
+    /// attempt went, because the request is not sent there again.
     fn slots_to_wait_for(&self, request: &Request, tier_index: TierIndex, tier: &SpeedTier) -> f64 {
-        let tried = request
+        let excluded_slots = request
             .attempts
             .iter()
             .filter_map(|attempt| self.endpoints[attempt.endpoint].membership.slots_in(tier_index));
-        tier.slots - tried.sum::<f64>()
+        tier.slots - excluded_slots.sum::<f64>()
     }
 
-    /// The threshold for a request without affinity: whether one of the faster endpoints is worth waiting for.
+    /// Applies the threshold to a request without affinity: decides whether it waits for a faster endpoint than the
+    /// open one that was found.
     fn decide(
         &self, candidate: &Candidate, endpoint: EndpointIndex, tier: &SpeedTier, faster: &FasterSlots,
     ) -> Selection {
-        // Faster endpoints that are ejected for this class won't come free for it.
+        // Slots on faster endpoints that are ejected for this class don't become available to it.
         let open_fraction = 1.0 - self.outliers.ejected_fraction(candidate.request.spec.class);
         let faster = faster.scaled(open_fraction);
         let decision = if faster.count < MIN_FASTER_SLOTS {
@@ -216,7 +226,7 @@
         } else {
             Decision::Held
         };
-        Selection::of(decision, endpoint)
+        Selection::from_decision(decision, endpoint)
     }
 
     fn threshold_for(&self, faster: &FasterSlots, tier: &SpeedTier) -> u32 {
@@ -225,14 +235,14 @@
         threshold(faster.count, utilization, speed_ratio)
     }
 
-    /// The threshold for a request with affinity: its affinity endpoint's slots are the faster ones, and those that
-    /// wait for it over all proxies the queue.
+    /// Applies the threshold to a request with affinity. The slots of its affinity endpoint count as the faster
+    /// servers, and the requests that wait for this endpoint at all proxies as the queue.
     fn decide_with_affinity(
         &self, id: RequestId, candidate: &Candidate, affinity: EndpointIndex, endpoint: EndpointIndex,
         tier: &SpeedTier,
     ) -> Selection {
         if self.is_admitted(affinity, id) {
-            return Selection::of(Decision::AtOnce, affinity);
+            return Selection::from_decision(Decision::AtOnce, affinity);
         }
         let entry = &self.endpoints[affinity];
         let speed = self.latency.affinity_speedup() / entry.cost;
@@ -246,11 +256,12 @@
         } else {
             Decision::Held
         };
-        Selection::of(decision, endpoint)
+        Selection::from_decision(decision, endpoint)
     }
 
-    /// Whether a request is among those of its review interval that its affinity endpoint has capacity for: the highest
-    /// in rank of those that wait here, a fair sample of all that wait.
+    /// Whether a request is among those that its affinity endpoint has capacity for in this review interval. Each proxy
+    /// admits the requests with the highest priority among its own, up to the fraction for which the endpoint has
+    /// capacity. They are a fair sample of the requests that wait at all proxies.
     pub fn is_admitted(&self, endpoint: EndpointIndex, id: RequestId) -> bool {
         let entry = &self.endpoints[endpoint];
         let probability = entry.affinity.admission_probability;
@@ -260,14 +271,14 @@
         if probability >= 1.0 {
             return true;
         }
-        // Requests have the same numbers at every proxy, so the proxy's own index goes in.
+        // Request ids are unique only within a proxy, so the hash includes the index of the proxy.
         let proxy = u64::from(self.settings.proxy_index);
         let seed = unit_hash(id.0, proxy).to_bits() ^ self.epoch;
         let position = self.waiting_ahead(id) as f64 + unit_hash(seed, entry.listed.id.0);
         position < probability * self.queues.waiting() as f64
     }
 
-    /// How many waiting requests have a higher rank.
+    /// The number of waiting requests with a higher priority.
     fn waiting_ahead(&self, id: RequestId) -> usize {
         let priorities = Priorities { settings: self.settings, latency: self.latency };
         let rank = priorities.rank(&self.requests[id], self.now);
--- a/crates/core/src/balancer/send_guard.rs
+++ b/crates/core/src/balancer/send_guard.rs
@@ -1,4 +1,4 @@
-//! The guard of every send: it is the point of no return, and nothing passes that would break an invariant.
+//! The last check before a send, which can't be undone: it prevents every send that would break an invariant.
 
 use super::{Balancer, is_idempotent};
 use crate::endpoints::EndpointIndex;
@@ -7,7 +7,7 @@
 use crate::requests::Request;
 
 impl Balancer {
-    /// Which invariant a send would break.
+    /// The invariant that a send would break; `None` if the send is allowed.
     pub(super) fn violated_by_send(
         &self, now: Millis, id: RequestId, endpoint: EndpointIndex,
     ) -> Option<Invariant> {
@@ -30,12 +30,13 @@
         }
     }
 
+    /// Whether the request's idempotency allows a send to an endpoint, given that earlier attempts may have run.
     fn is_repeat_allowed(&self, request: &Request, endpoint: EndpointIndex, now: Millis) -> bool {
         let class = &self.settings.classes[request.spec.class];
         match request.repeat_window(class) {
             Some(window) => {
-                let first = &self.endpoints[window.first];
-                now < window.until && self.endpoints[endpoint].deduplicates(first, window.scope)
+                let first_endpoint = &self.endpoints[window.first];
+                now < window.until && self.endpoints[endpoint].deduplicates(first_endpoint, window.scope)
             }
             None => is_idempotent(class) || !request.may_have_run(),
         }
--- a/crates/core/src/balancer/takeover.rs
+++ b/crates/core/src/balancer/takeover.rs
@@ -1,10 +1,10 @@
-//! What a successor process takes over.
+//! The learned state that a process hands over to its successor during an upgrade.
 
 use super::Balancer;
 use crate::learned_state::LearnedState;
 
 impl Balancer {
-    /// What a successor takes over.
+    /// The learned state that a successor process takes over.
     pub fn learned_state(&self) -> LearnedState {
         let in_service = self.endpoints.in_service();
         LearnedState {
@@ -15,8 +15,8 @@
         }
     }
 
-    /// Takes over what a predecessor has learned; what it knew nothing of stays as it is. The predecessor still spends
-    /// its budgets for endpoints in slow start: those here start empty.
+    /// Restores the learned state of a predecessor process; estimates that it does not contain stay as they are. The
+    /// slow-start budgets start empty, because the predecessor still spends its own.
     pub fn restore(&mut self, learned: LearnedState) {
         self.overrides.restore_returns(learned.maintenance_returns);
         for (id, relative_latency) in learned.endpoints {
--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -1,27 +1,27 @@
-//! What the two-speed threshold decides for a waiting request.
+//! Decisions of the two-speed threshold, and their counts.
 
-/// The outcome of one look at a waiting request for which an endpoint is available.
+/// What the two-speed threshold decides for a waiting request when an endpoint is available to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Sent, as no faster endpoint was worth waiting for.
+    /// The request is sent at once: there is no faster endpoint to wait for, or its affinity endpoint is available.
     AtOnce,
-    /// Sent, as the queue had outgrown the threshold.
+    /// The request is sent because the queue is longer than the threshold.
     PastThreshold,
-    /// Sent, as its latency objective was near.
+    /// The request is sent because its latency objective is near.
     Urgent,
-    /// Held for a faster endpoint.
+    /// The request keeps waiting for a faster endpoint.
     Held,
 }
 
 impl Decision {
-    /// How many there are.
+    /// The number of decisions.
     pub const COUNT: usize = Decision::Held as usize + 1;
 
-    /// All of them.
+    /// All decisions.
     pub const ALL: [Decision; Decision::COUNT] =
         [Decision::AtOnce, Decision::PastThreshold, Decision::Urgent, Decision::Held];
 
-    /// Its name in metrics and logs.
+    /// The name of the decision in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Decision::AtOnce => "at_once",
@@ -32,17 +32,17 @@
     }
 }
 
-/// Decisions counted from the start of the process, in the order of [`Decision::ALL`].
+/// The number of times each decision was made since the start of the process, in the order of [`Decision::ALL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DecisionCounts([u64; Decision::COUNT]);
 
 impl DecisionCounts {
-    /// Counts one.
+    /// Counts one decision.
     pub(crate) fn record(&mut self, decision: Decision) {
         self.0[decision as usize] += 1;
     }
 
-    /// How often that was decided.
+    /// How often that decision was made.
     pub fn count(&self, decision: Decision) -> u64 {
         self.0[decision as usize]
     }
