--- a/crates/core/src/balancer/operators.rs
+++ b/crates/core/src/balancer/operators.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether an operator has taken an endpoint out of service.
-    pub fn in_maintenance(&self, id: EndpointId) -> bool {
+    pub fn is_in_maintenance(&self, id: EndpointId) -> bool {
         self.overrides.is_in_maintenance(id)
     }
 }
--- a/crates/proxy/src/driver/endpoints.rs
+++ b/crates/proxy/src/driver/endpoints.rs
@@ -112,7 +112,7 @@
             return;
         }
         let upstream = UpstreamEndpoint::new(address, endpoint.started_unix_ms);
-        upstream.set_in_maintenance(context.balancer.in_maintenance(id));
+        upstream.set_in_maintenance(context.balancer.is_in_maintenance(id));
         context.upstreams.add(&upstream);
         if let Some(replaced) = self.upstreams.insert(id, upstream) {
             replaced.set_open(false);
