--- a/crates/core/src/balancer/selection.rs
+++ b/crates/core/src/balancer/selection.rs
@@ -2,7 +2,7 @@
 
 use super::answers::FINAL_RESPONSE_MARGIN;
 use super::is_idempotent;
-use crate::decision::Decision;
+use crate::decision::ThresholdDecision;
 use crate::endpoints::{EndpointEntry, EndpointIndex, EndpointTable, SpeedTier, SpeedTiers, TierIndex};
 use crate::estimators::{ArrivalRate, LatencyModel};
 use crate::hash::{rendezvous_score, unit_hash};
@@ -27,7 +27,7 @@
     /// The endpoint to which the request is sent; `None` if it keeps waiting.
     pub endpoint: Option<EndpointIndex>,
     /// The decision of the two-speed threshold; `None` if the threshold did not apply.
-    pub decision: Option<Decision>,
+    pub decision: Option<ThresholdDecision>,
 }
 
 impl Selection {
@@ -35,8 +35,8 @@
         Selection { endpoint, decision: None }
     }
 
-    fn from_decision(decision: Decision, endpoint: EndpointIndex) -> Self {
-        let endpoint = (decision != Decision::Held).then_some(endpoint);
+    fn from_decision(decision: ThresholdDecision, endpoint: EndpointIndex) -> Self {
+        let endpoint = (decision != ThresholdDecision::Held).then_some(endpoint);
         Selection { endpoint, decision: Some(decision) }
     }
 }
@@ -218,13 +218,13 @@
         let open_fraction = 1.0 - self.outliers.ejected_fraction(candidate.request.spec.class);
         let faster = faster.scaled(open_fraction);
         let decision = if faster.count < MIN_FASTER_SLOTS {
-            Decision::AtOnce
+            ThresholdDecision::AtOnce
         } else if candidate.is_urgent {
-            Decision::Urgent
+            ThresholdDecision::Urgent
         } else if self.queues.waiting() > self.threshold_for(&faster, tier) as usize {
-            Decision::PastThreshold
+            ThresholdDecision::PastThreshold
         } else {
-            Decision::Held
+            ThresholdDecision::Held
         };
         Selection::from_decision(decision, endpoint)
     }
@@ -242,7 +242,7 @@
         tier: &SpeedTier,
     ) -> Selection {
         if self.is_admitted(affinity, id) {
-            return Selection::from_decision(Decision::AtOnce, affinity);
+            return Selection::from_decision(ThresholdDecision::AtOnce, affinity);
         }
         let entry = &self.endpoints[affinity];
         let speed = self.latency.affinity_speedup() / entry.cost;
@@ -250,11 +250,11 @@
         let max_waiting = threshold(entry.slots.capacity, utilization, speed / tier.speed);
         let waiting = f64::from(entry.affinity.pending) * self.sharing.active_proxies();
         let decision = if candidate.is_urgent {
-            Decision::Urgent
+            ThresholdDecision::Urgent
         } else if waiting > f64::from(max_waiting) {
-            Decision::PastThreshold
+            ThresholdDecision::PastThreshold
         } else {
-            Decision::Held
+            ThresholdDecision::Held
         };
         Selection::from_decision(decision, endpoint)
     }
--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -2,7 +2,7 @@
 
 /// What the two-speed threshold decides for a waiting request when an endpoint is available to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decision {
+pub enum ThresholdDecision {
     /// The request is sent at once: there is no faster endpoint to wait for, or its affinity endpoint is available.
     AtOnce,
     /// The request is sent because the queue is longer than the threshold.
@@ -13,37 +13,41 @@
     Held,
 }
 
-impl Decision {
+impl ThresholdDecision {
     /// The number of decisions.
-    pub const COUNT: usize = Decision::Held as usize + 1;
+    pub const COUNT: usize = ThresholdDecision::Held as usize + 1;
 
     /// All decisions.
-    pub const ALL: [Decision; Decision::COUNT] =
-        [Decision::AtOnce, Decision::PastThreshold, Decision::Urgent, Decision::Held];
+    pub const ALL: [ThresholdDecision; ThresholdDecision::COUNT] = [
+        ThresholdDecision::AtOnce,
+        ThresholdDecision::PastThreshold,
+        ThresholdDecision::Urgent,
+        ThresholdDecision::Held,
+    ];
 
     /// The name of the decision in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Decision::AtOnce => "at_once",
-            Decision::PastThreshold => "past_threshold",
-            Decision::Urgent => "urgent",
-            Decision::Held => "held",
+            ThresholdDecision::AtOnce => "at_once",
+            ThresholdDecision::PastThreshold => "past_threshold",
+            ThresholdDecision::Urgent => "urgent",
+            ThresholdDecision::Held => "held",
         }
     }
 }
 
-/// The number of times each decision was made since the start of the process, in the order of [`Decision::ALL`].
+/// The number of times each decision was made since the start of the process, in the order of [`ThresholdDecision::ALL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DecisionCounts([u64; Decision::COUNT]);
+pub struct DecisionCounts([u64; ThresholdDecision::COUNT]);
 
 impl DecisionCounts {
     /// Counts one decision.
-    pub(crate) fn record(&mut self, decision: Decision) {
+    pub(crate) fn record(&mut self, decision: ThresholdDecision) {
         self.0[decision as usize] += 1;
     }
 
     /// How often that decision was made.
-    pub fn count(&self, decision: Decision) -> u64 {
+    pub fn count(&self, decision: ThresholdDecision) -> u64 {
         self.0[decision as usize]
     }
 }
--- a/crates/proxy/src/metrics/dispatch.rs
+++ b/crates/proxy/src/metrics/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-use leadrelay_core::{Decision, Gauges};
+use leadrelay_core::{Gauges, ThresholdDecision};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
@@ -11,7 +11,7 @@
 
 /// Metrics of the queue and of decisions.
 pub struct DispatchMetrics {
-    decisions: [Counter; Decision::COUNT],
+    decisions: [Counter; ThresholdDecision::COUNT],
     waiting: Gauge,
     running: Gauge,
     retry_budget: Gauge<f64, AtomicU64>,
@@ -20,7 +20,7 @@
 impl DispatchMetrics {
     /// Registers them.
     pub fn register(registry: &mut Registry) -> Self {
-        let names = Decision::ALL.map(Decision::name);
+        let names = ThresholdDecision::ALL.map(ThresholdDecision::name);
         let help = "What the two-speed threshold decided at each look at a waiting request";
         let decisions = register_by_label::<ByChoice, Counter, _>(registry, "choices", help, names);
         let waiting = Gauge::default();
@@ -35,7 +35,7 @@
 
     /// Sets the gauges, and the counters that the balancer keeps.
     pub fn set(&self, gauges: &Gauges) {
-        for (counter, decision) in self.decisions.iter().zip(Decision::ALL) {
+        for (counter, decision) in self.decisions.iter().zip(ThresholdDecision::ALL) {
             counter.inner().store(gauges.decisions.count(decision), Relaxed);
         }
         self.waiting.set(gauges.waiting as i64);
@@ -44,8 +44,8 @@
     }
 
     /// How often each decision was made, by its name.
-    pub fn decisions(&self) -> [(&'static str, u64); Decision::COUNT] {
-        Decision::ALL.map(|decision| (decision.name(), self.decisions[decision as usize].get()))
+    pub fn decisions(&self) -> [(&'static str, u64); ThresholdDecision::COUNT] {
+        ThresholdDecision::ALL.map(|decision| (decision.name(), self.decisions[decision as usize].get()))
     }
 
     /// How many requests are queued.
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -15,7 +15,7 @@
 
 use std::sync::atomic::AtomicBool;
 
-use leadrelay_core::{Decision, Gauges, Invariant, Millis, Outcome, RejectionReason};
+use leadrelay_core::{Gauges, Invariant, Millis, Outcome, RejectionReason, ThresholdDecision};
 use prometheus_client::registry::Registry;
 use serde_json::{Value, json};
 use tokio::time::Instant;
@@ -157,7 +157,7 @@
     }
 
     /// How often each decision was made, by its name.
-    pub fn decisions(&self) -> [(&'static str, u64); Decision::COUNT] {
+    pub fn decisions(&self) -> [(&'static str, u64); ThresholdDecision::COUNT] {
         self.dispatch.decisions()
     }
 
