--- a/crates/core/src/balancer/gauges.rs
+++ b/crates/core/src/balancer/gauges.rs
@@ -1,7 +1,7 @@
 //! A snapshot of a proxy's state for metrics.
 
 use super::Balancer;
-use crate::decision::DecisionCounts;
+use crate::decision::ThresholdDecisionCounts;
 use crate::endpoint_status::EndpointStatus;
 use crate::endpoints::EndpointEntry;
 use crate::ids::Millis;
@@ -21,7 +21,7 @@
     /// The number of retries that the retry budget still allows.
     pub retry_budget: f64,
     /// How often the two-speed threshold made each decision.
-    pub decisions: DecisionCounts,
+    pub decisions: ThresholdDecisionCounts,
     /// How often a send was prevented because it would have broken an invariant.
     pub violations: Violations,
 }
--- a/crates/core/src/balancer/mod.rs
+++ b/crates/core/src/balancer/mod.rs
@@ -18,7 +18,7 @@
 pub use gauges::Gauges;
 
 use crate::actions::{Action, RejectionReason};
-use crate::decision::DecisionCounts;
+use crate::decision::ThresholdDecisionCounts;
 use crate::discovery::{Subscription, list_valid_until};
 use crate::endpoints::{EndpointTable, SpeedTiers};
 use crate::estimators::{ArrivalRate, ClientTimeouts, LatencyModel, RequestCosts};
@@ -62,7 +62,7 @@
     unheard_load: UnheardLoad,
     subscription: Subscription,
     overrides: OperatorOverrides,
-    decisions: DecisionCounts,
+    decisions: ThresholdDecisionCounts,
     violations: Violations,
 }
 
@@ -91,7 +91,7 @@
             unheard_load: UnheardLoad::default(),
             subscription: Subscription::new(),
             overrides: OperatorOverrides::default(),
-            decisions: DecisionCounts::default(),
+            decisions: ThresholdDecisionCounts::default(),
             violations: Violations::default(),
             settings,
         }
--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -38,9 +38,9 @@
 
 /// The number of times each decision was made since the start of the process, in the order of [`ThresholdDecision::ALL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DecisionCounts([u64; ThresholdDecision::COUNT]);
+pub struct ThresholdDecisionCounts([u64; ThresholdDecision::COUNT]);
 
-impl DecisionCounts {
+impl ThresholdDecisionCounts {
     /// Counts one decision.
     pub(crate) fn record(&mut self, decision: ThresholdDecision) {
         self.0[decision as usize] += 1;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -43,7 +43,7 @@
 
 pub use actions::{Action, CancelReason, RejectionReason};
 pub use balancer::{Balancer, Gauges};
-pub use decision::{DecisionCounts, ThresholdDecision};
+pub use decision::{ThresholdDecision, ThresholdDecisionCounts};
 pub use endpoint::{Endpoint, EndpointState, ListScope};
 pub use endpoint_status::EndpointStatus;
 pub use events::{Announcement, CallEnd, DiscoveryEvent, Event, Reconfiguration, UploadStage};
