--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -36,7 +36,8 @@
     }
 }
 
-/// The number of times each decision was made since the start of the process, in the order of [`ThresholdDecision::ALL`].
+/// The number of times each decision was made since the start of the process, in the order of
+/// [`ThresholdDecision::ALL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ThresholdDecisionCounts([u64; ThresholdDecision::COUNT]);
 
