--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint. Each part is changed by the component that owns it.
+//! The record of one endpoint. Each part is changed by the component that owns it.
 
 use std::collections::VecDeque;
 
@@ -14,100 +14,100 @@
 /// Attempts in flight to an endpoint.
 #[derive(Default)]
 pub(crate) struct Load {
-    /// Those of this proxy, those given up that may still be running included.
+    /// Attempts of this proxy, including abandoned ones that may still be running.
     pub own: u32,
-    /// Those of proxies in the endpoint's zone, as they reported.
+    /// Attempts of other proxies in the endpoint's zone, as reported by gossip.
     pub peers_same_zone: u32,
-    /// Those of proxies in other zones, as they reported.
+    /// Attempts of proxies in other zones, as reported by gossip.
     pub peers_other_zones: u32,
 }
 
 impl Load {
-    /// All attempts in flight, as far as this proxy knows.
+    /// All attempts in flight that this proxy knows of.
     pub fn total(&self) -> u32 {
         self.own + self.peers_same_zone + self.peers_other_zones
     }
 }
 
-/// How many requests an endpoint may hold.
-pub(crate) struct SlotAllotment {
-    /// For all proxies together.
+/// The concurrency slots of an endpoint: how many requests it may hold at once.
+pub(crate) struct SlotAllocation {
+    /// Slots for all proxies together.
     pub capacity: f64,
-    /// For this proxy alone.
+    /// Slots that belong to this proxy alone.
     pub own_slots: f64,
 }
 
-/// The requests whose key has its affinity with an endpoint.
+/// Waiting requests whose key has its affinity with an endpoint.
 #[derive(Default)]
 pub(crate) struct AffinityQueue {
-    /// Weight of the endpoint in rendezvous hashing: the inverse of its capacity.
+    /// The weight of the endpoint in rendezvous hashing: the inverse of its capacity.
     pub hash_weight: f64,
-    /// Waiting requests of its keys, in order of arrival; some may no longer wait.
+    /// Requests with affinity to the endpoint, in order of arrival; some of them may no longer wait.
     pub queue: VecDeque<RequestId>,
-    /// How many of them wait.
+    /// Number of requests in `queue` that still wait.
     pub pending: u32,
-    /// Whether a request of its keys may be sent now.
+    /// Whether a request with affinity to the endpoint may be sent to it now.
     pub available: bool,
-    /// With which probability it may, in each review interval.
+    /// The probability with which a waiting request is admitted to the endpoint in a review interval.
     pub admission_probability: f64,
 }
 
 impl AffinityQueue {
-    /// A request of its keys waits from now on.
+    /// Adds a request that waits from now on.
     pub fn push(&mut self, id: RequestId) {
         self.pending += 1;
         self.queue.push_back(id);
     }
 
-    /// A request of its keys waits no longer.
+    /// Decrements the number of waiting requests. The id of the request stays in the queue until none waits.
     pub fn stop_waiting(&mut self) {
         self.pending -= 1;
         if self.pending == 0 {
-            self.queue.clear(); // what is left in it no longer waits
+            self.queue.clear(); // the remaining ids are of requests that no longer wait
         }
     }
 
-    /// Whether there are requests to send and the endpoint may get one.
+    /// Whether a request waits and may be sent to the endpoint.
     pub fn may_send(&self) -> bool {
         self.pending > 0 && self.available
     }
 }
 
-/// What is known of an endpoint.
+/// The record of an endpoint: its entry on the endpoint list, its load, and what has been measured of it.
 pub(crate) struct EndpointEntry {
-    /// Its entry on the list.
+    /// The endpoint's entry on the endpoint list.
     pub listed: Endpoint,
-    /// The name that gossip messages use for it.
+    /// The name that gossip messages use for the endpoint.
     pub gossip_name: Option<u16>,
-    /// Since when it is known to drain, to be removed or to be in maintenance.
+    /// When this proxy learned that the endpoint drains, was removed or is in maintenance; `None` in service.
     pub draining_since: Option<Millis>,
-    /// Whether the list has just reported a new process.
+    /// Whether the list has reported a new process for which slow start has not been started yet.
     pub restarted: bool,
-    /// Its class of machines.
+    /// The machine class of the endpoint.
     pub machine_class: MachineClassIndex,
     /// Attempts in flight.
     pub load: Load,
-    /// Which part of the time of an attempt from another zone is spent at the endpoint itself.
+    /// The fraction of the duration of an attempt from another zone that is spent at the endpoint itself.
     pub processing_fraction: f64,
-    /// Other proxies that report it as an outlier.
+    /// Number of other proxies that report the endpoint as an outlier.
     pub outlier_reports: u32,
-    /// Mean latency relative to its classes' means over the fleet.
+    /// Mean latency relative to the means of the request classes over all endpoints.
     pub relative_latency: WeightedMean,
-    /// Failures and timeouts.
+    /// Failures, timeouts and ejections of the endpoint.
     pub outlier: OutlierRecord,
-    /// What it may be sent in slow start.
+    /// Requests that this proxy may send to the endpoint during slow start.
     pub slow_start: SlowStartBudget,
-    /// The part of its capacity that it has for certain.
+    /// The fraction of its capacity that the endpoint has at least; 1 after slow start.
     pub slow_start_factor: f64,
-    /// How many requests it may hold.
-    pub slots: SlotAllotment,
-    /// Expected latency relative to the fleet's mean, the price of crossing zones included.
+    /// How many requests the endpoint may hold.
+    pub slots: SlotAllocation,
+    /// Expected latency relative to the mean of all endpoints, including the price of crossing zones.
     pub cost: f64,
-    /// The speed tier of that cost.
+    /// The speed tier that `cost` falls into.
     pub tier: TierIndex,
-    /// Where it is filed among the speed tiers.
+    /// The position of the endpoint in the speed tiers.
     pub membership: TierMembership,
-    /// Requests whose key has its affinity here.
+    /// Waiting requests whose key has its affinity with the endpoint.
     pub affinity: AffinityQueue,
 }
 
@@ -126,7 +126,7 @@
             outlier: OutlierRecord::new(classes, now),
             slow_start: SlowStartBudget::new(now),
             slow_start_factor: 1.0,
-            slots: SlotAllotment { capacity: 1.0, own_slots: 0.0 },
+            slots: SlotAllocation { capacity: 1.0, own_slots: 0.0 },
             cost: 1.0,
             tier: TierIndex::default(),
             membership: TierMembership::default(),
@@ -134,54 +134,54 @@
         }
     }
 
-    /// Whether it may be sent requests as far as discovery and operators say.
+    /// Whether discovery and operators allow requests to be sent to the endpoint.
     pub fn is_in_service(&self) -> bool {
         self.draining_since.is_none()
     }
 
-    /// Whether it is still on the list.
+    /// Whether the endpoint is still on the endpoint list.
     pub fn is_listed(&self) -> bool {
         self.listed.state != EndpointState::Removed
     }
 
-    /// Whether it has started so recently that it does not have all of its capacity yet.
+    /// Whether the endpoint is in slow start and does not have its full capacity yet.
     pub fn is_warming_up(&self) -> bool {
         self.slow_start.is_active() && self.slow_start_factor < 1.0
     }
 
-    /// Whether it deduplicates the requests of an endpoint that was tried before.
-    pub fn deduplicates(&self, first: &EndpointEntry, scope: DeduplicationScope) -> bool {
+    /// Whether the endpoint recognizes repeats of requests that were sent to `prior` before.
+    pub fn deduplicates(&self, prior: &EndpointEntry, scope: DeduplicationScope) -> bool {
         match scope {
             DeduplicationScope::All => true,
-            DeduplicationScope::Zone => first.listed.zone.is_some() && self.listed.zone == first.listed.zone,
-            DeduplicationScope::Cell => first.listed.cell.is_some() && self.listed.cell == first.listed.cell,
+            DeduplicationScope::Zone => prior.listed.zone.is_some() && self.listed.zone == prior.listed.zone,
+            DeduplicationScope::Cell => prior.listed.cell.is_some() && self.listed.cell == prior.listed.cell,
         }
     }
 
-    /// Whether a proxy in that zone reaches it across zones.
+    /// Whether requests from a proxy in `zone` cross zones to reach the endpoint.
     pub fn crosses_zones_from(&self, zone: Option<ZoneId>) -> bool {
         self.listed.zone.is_some() && self.listed.zone != zone
     }
 
-    /// The attempts expected to be at the endpoint itself, seen from a proxy in that zone: those on their way across
-    /// zones take none of its time.
+    /// The expected number of attempts at the endpoint itself, seen from a proxy in `zone`. Attempts in transit between
+    /// zones are not counted, since they take none of the endpoint's time.
     pub fn expected_concurrency(&self, zone: Option<ZoneId>) -> f64 {
         let own_fraction = if self.crosses_zones_from(zone) { self.processing_fraction } else { 1.0 };
         f64::from(self.load.own) * own_fraction + self.reported_concurrency()
     }
 
-    /// The attempts of other proxies expected to be at the endpoint itself, by their reports.
+    /// The expected number of attempts of other proxies at the endpoint itself, according to their reports.
     pub fn reported_concurrency(&self) -> f64 {
         f64::from(self.load.peers_same_zone)
             + f64::from(self.load.peers_other_zones) * self.processing_fraction
     }
 
-    /// How many requests it can hold now, slow start counted.
+    /// How many requests the endpoint can hold now, reduced during slow start.
     pub fn present_capacity(&self) -> f64 {
         self.slots.capacity * self.slow_start_factor
     }
 
-    /// Whether it is filed as open for requests without affinity.
+    /// Whether the speed tiers list the endpoint as open to requests without affinity.
     pub fn is_open(&self) -> bool {
         self.membership.is_open()
     }
--- a/crates/core/src/endpoints/index.rs
+++ b/crates/core/src/endpoints/index.rs
@@ -1,6 +1,6 @@
-//! The position of an endpoint's record.
+//! The index type of the endpoint table.
 
-/// The position of an endpoint's record in the table. It stays the same for as long as anything refers to it.
+/// The position of an endpoint's record in the table. It does not change while anything refers to the record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct EndpointIndex(u32);
 
--- a/crates/core/src/endpoints/mod.rs
+++ b/crates/core/src/endpoints/mod.rs
@@ -1,4 +1,4 @@
-//! The endpoints on the list: one record each, and their order by speed.
+//! The endpoints on the endpoint list: a record of each, and their order by speed.
 
 mod entry;
 mod index;
@@ -6,7 +6,7 @@
 mod speed_tiers;
 mod table;
 
-pub(crate) use entry::{EndpointEntry, SlotAllotment};
+pub(crate) use entry::{EndpointEntry, SlotAllocation};
 pub(crate) use index::EndpointIndex;
 pub(crate) use names::EndpointNames;
 pub(crate) use speed_tiers::{SpeedTier, SpeedTiers, TierIndex};
--- a/crates/core/src/endpoints/table.rs
+++ b/crates/core/src/endpoints/table.rs
@@ -1,4 +1,4 @@
-//! The records of all endpoints that are listed or still referred to.
+//! The records of all endpoints that are on the endpoint list or still referred to.
 
 use std::ops::{Index, IndexMut};
 
@@ -10,14 +10,14 @@
 use crate::machine_class::MachineClassIndex;
 use crate::operator_overrides::OperatorOverrides;
 
-/// Lower bound of the total weight, which is divided by.
+/// Lower bound of the total weight, which is used as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 1e-6;
 
-/// The records of all endpoints, with the positions that are free again and the names that gossip uses.
+/// The records of all endpoints, the positions that can be reused, and the names that gossip uses.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     entries: Vec<EndpointEntry>,
-    /// Positions of endpoints that have been removed and that nothing refers to.
+    /// Positions that can be reused: their endpoints were removed and nothing refers to them.
     vacant: Vec<EndpointIndex>,
     by_id: FxHashMap<EndpointId, EndpointIndex>,
     names: EndpointNames,
@@ -26,52 +26,53 @@
 }
 
 impl EndpointTable {
-    /// How many positions there are, vacant ones included.
+    /// Number of positions, including vacant ones.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// All positions, vacant ones included.
+    /// All positions, including vacant ones.
     pub fn indices(&self) -> impl DoubleEndedIterator<Item = EndpointIndex> + use<> {
         (0..self.entries.len()).map(EndpointIndex::new)
     }
 
-    /// All records, those of vacant positions included.
+    /// All records, including those at vacant positions.
     pub fn iter(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.entries.iter()
     }
 
-    /// All records with their positions.
+    /// All records with their positions, including vacant ones.
     pub fn iter_indexed(&self) -> impl Iterator<Item = (EndpointIndex, &EndpointEntry)> {
         self.entries.iter().enumerate().map(|(position, entry)| (EndpointIndex::new(position), entry))
     }
 
-    /// All records, to be changed.
+    /// All records as mutable references, including those at vacant positions.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = &mut EndpointEntry> {
         self.entries.iter_mut()
     }
 
-    /// Records of endpoints that may be sent requests as far as discovery and operators say.
+    /// Records of endpoints to which discovery and operators allow requests to be sent.
     pub fn in_service(&self) -> impl Iterator<Item = &EndpointEntry> {
         self.entries.iter().filter(|entry| entry.is_in_service())
     }
 
-    /// Where the record of an endpoint is.
+    /// The position of the record of an endpoint.
     pub fn find(&self, id: EndpointId) -> Option<EndpointIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// The endpoint that a gossip message refers to by that name.
+    /// The endpoint that gossip messages refer to by this name.
     pub fn find_by_gossip_name(&self, name: u16) -> Option<EndpointIndex> {
         self.names.owner(name)
     }
 
-    /// An endpoint's part of the weight of all that are in service.
+    /// The sum of the weights of all endpoints in service.
     pub fn total_weight(&self) -> f64 {
         self.total_weight
     }
 
-    /// Records the entries of a list. Returns their endpoints, and with a complete list those that it removes too.
+    /// Records the entries of an endpoint list. Returns the endpoints of these entries; with a complete list also all
+    /// endpoints that are missing from it.
     pub fn record_list(
         &mut self, now: Millis, complete: bool, entries: Vec<Endpoint>, classes: usize,
         overrides: &mut OperatorOverrides,
@@ -105,7 +106,7 @@
         entry.draining_since = if in_service { None } else { entry.draining_since.or(Some(now)) };
         entry.restarted |= entry.listed.started_at != listed.started_at
             || listed.started_at.is_some() && !entry.slow_start.is_active();
-        entry.machine_class = MachineClassIndex::of(listed.machine_class);
+        entry.machine_class = MachineClassIndex::from_id(listed.machine_class);
         entry.listed = listed;
         endpoint
     }
@@ -126,7 +127,7 @@
         endpoint
     }
 
-    /// Marks all endpoints that are not among `recorded` as removed, and adds them there.
+    /// Marks all endpoints that are not in `recorded` as removed and appends them to it.
     fn remove_unlisted(&mut self, now: Millis, recorded: &mut Vec<EndpointIndex>) {
         let mut unlisted = vec![true; self.entries.len()];
         for endpoint in recorded.iter() {
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Endpoints whose records can be given up: removed, without attempts and waiting requests, and not among those
-    /// that others refer to. Endpoints come and go for as long as the process runs.
+    /// Endpoints whose records can be reused: they were removed, have neither attempts nor waiting requests, and are
+    /// not in `referred_to`. Without reuse the table would grow, since endpoints come and go while the process runs.
     pub fn reclaimable(&self, referred_to: impl Iterator<Item = EndpointIndex>) -> Vec<EndpointIndex> {
         let is_unused =
             |entry: &EndpointEntry| !entry.is_listed() && entry.load.own == 0 && entry.affinity.pending == 0;
@@ -155,7 +156,7 @@
         self.indices().filter(|endpoint| reclaimable[endpoint.as_usize()]).collect()
     }
 
-    /// Gives up an endpoint's record; its position is used for the next new endpoint.
+    /// Frees an endpoint's record; its position is reused for a new endpoint.
     pub fn reclaim(&mut self, endpoint: EndpointIndex) {
         let entry = &mut self.entries[endpoint.as_usize()];
         self.by_id.remove(&entry.listed.id);
--- a/crates/core/src/estimators/arrivals.rs
+++ b/crates/core/src/estimators/arrivals.rs
@@ -3,9 +3,9 @@
 use crate::ids::Millis;
 use crate::schedule::TICK;
 
-/// Duration over which the rate is averaged.
+/// The duration over which the arrival rate is averaged.
 pub(crate) const AVERAGING_TIME: Millis = 2000.0;
-/// Shortest duration over which arrivals are counted before they are added to the average.
+/// The shortest duration over which arrivals are counted before the average is updated.
 const MIN_COUNTING_TIME: Millis = 10.0 * TICK;
 
 /// An exponentially weighted moving average of the arrival rate.
@@ -14,26 +14,27 @@
     /// Arrivals since the last update.
     count: f64,
     updated_at: Millis,
+    /// The average rate, in requests per millisecond; 0 before the first update.
     per_ms: f64,
 }
 
 impl ArrivalRate {
-    /// Starts to count.
+    /// Starts counting arrivals.
     pub fn start(&mut self, now: Millis) {
         self.updated_at = now;
     }
 
-    /// Counts a request.
+    /// Counts an arriving request.
     pub fn record(&mut self) {
         self.count += 1.0;
     }
 
-    /// Requests per millisecond.
+    /// The average arrival rate, in requests per millisecond.
     pub fn per_ms(&self) -> f64 {
         self.per_ms
     }
 
-    /// Adds what has been counted to the average, if it covers long enough a time.
+    /// Adds the counted arrivals to the average once they cover `MIN_COUNTING_TIME`.
     pub fn update(&mut self, now: Millis) {
         let elapsed = now - self.updated_at;
         if elapsed < MIN_COUNTING_TIME {
--- a/crates/core/src/estimators/latency.rs
+++ b/crates/core/src/estimators/latency.rs
@@ -1,4 +1,4 @@
-//! How long requests take: by request class, by class of machines, by endpoint, and across zones.
+//! Estimates how long requests take: by request class, by machine class, by endpoint, and across zones.
 
 use super::affinity::AffinitySpeedup;
 use super::{MAX_RELATIVE_SAMPLE, MIN_RELATIVE_LATENCY};
@@ -9,42 +9,42 @@
 use crate::settings::{RequestClass, Settings};
 use crate::weighted_mean::WeightedMean;
 
-/// Responses over which the latency of an endpoint is averaged.
+/// Number of responses over which the latency of an endpoint is averaged.
 const ENDPOINT_SAMPLES: f64 = 12.0;
-/// Responses over which the spread of latencies is averaged: long ones are rare.
+/// Number of responses over which the spread of latencies is averaged; it is high since long latencies are rare.
 const SPREAD_SAMPLES: f64 = 1000.0;
-/// An attempt that takes so many times its expected latency counts as unanswered.
+/// An attempt without a response after this multiple of its expected latency counts as unanswered.
 pub(crate) const HANG_FACTOR: f64 = 5.0;
-/// The part of a latency that the path across zones may account for.
+/// The fraction of a latency that may be attributed to the network path between zones.
 const MAX_PATH_FRACTION: f64 = 0.9;
-/// By which factor the price of crossing zones counts as a delay: latency objectives leave slack.
+/// The factor on the price of crossing zones when it is converted to a delay, since latency objectives leave slack.
 const CROSSING_FACTOR: f64 = 3.0;
-/// The latency of a class that has not been measured, as a fraction of its objective.
+/// The assumed latency of a request class without measurements, as a fraction of its latency objective.
 const INITIAL_OBJECTIVE_FRACTION: f64 = 0.25;
-/// Weight that a class without samples has in the mean over all classes.
+/// The weight added to each request class in the mean over all of them, so that a class without samples counts too.
 const PRIOR_WEIGHT: f64 = 0.01;
 
-/// A response from which latencies are learned.
+/// A response as a sample for the latency model.
 pub(crate) struct LatencySample {
-    /// The request class.
+    /// The index of the request class.
     pub class: usize,
-    /// Its latency over its relative cost.
+    /// The latency of the response divided by the relative cost of the request.
     pub latency: Millis,
-    /// Whether the endpoint is the one that the request's key has its affinity with.
+    /// Whether the request's key has its affinity with the endpoint that responded.
     pub at_affinity_endpoint: bool,
-    /// Whether it found the endpoint without load.
+    /// Whether the endpoint had no load when the request was sent.
     pub unloaded: bool,
 }
 
-/// How fast an endpoint is for a request of mean cost.
+/// The speed of an endpoint for a request of mean cost.
 pub(crate) struct EndpointSpeed {
-    /// Expected latency relative to the fleet's mean, the price of crossing zones included.
+    /// Expected latency relative to the mean of all endpoints, including the price of crossing zones.
     pub cost: f64,
-    /// Which part of the time of an attempt from another zone is spent at the endpoint itself.
+    /// The fraction of the duration of an attempt from another zone that is spent at the endpoint itself.
     pub processing_fraction: f64,
 }
 
-/// The lowest latencies of late; 0 if unknown.
+/// The lowest recent latencies within this proxy's zone and across zones; 0 if unknown.
 #[derive(Default)]
 struct LowestLatencies {
     same_zone: Millis,
@@ -57,30 +57,31 @@
         *lowest = if *lowest > 0.0 { lowest.min(latency) } else { latency };
     }
 
-    /// Lets them rise slowly, so that they follow slower paths.
+    /// Raises the lowest latencies slightly, so that they follow a path that becomes slower.
     fn age(&mut self) {
         self.same_zone *= BASELINE_RISE;
         self.other_zones *= BASELINE_RISE;
     }
 
-    /// How much longer the path to another zone is.
-    fn path_between_zones(&self) -> Millis {
+    /// The additional latency of the network path to another zone.
+    fn cross_zone_delay(&self) -> Millis {
         (self.other_zones - self.same_zone).max(0.0)
     }
 }
 
-/// What is known of latencies.
+/// Running estimates of latencies, by which endpoints are compared and the duration of requests is predicted.
 pub(crate) struct LatencyModel {
+    /// Mean latency of each request class on an endpoint of mean speed.
     by_class: Vec<WeightedMean>,
     machine_classes: Vec<MachineClass>,
     /// Mean latency over all request classes.
     mean: Millis,
-    /// Service time of the slowest class of machines.
+    /// Service time of the slowest machine class.
     slowest_service_time: Millis,
-    /// The longest latency objective of a request class.
+    /// The longest latency objective of all request classes.
     longest_objective: Millis,
     lowest: LowestLatencies,
-    /// Mean square of latency over its expected value.
+    /// Mean square of the ratio of a latency to its expected value.
     spread: WeightedMean,
     affinity: AffinitySpeedup,
 }
@@ -110,22 +111,22 @@
         self.by_class[class].value
     }
 
-    /// Expected latency of a request of that class and relative cost.
+    /// Expected latency of a request with this class and relative cost.
     pub fn expected(&self, class: usize, relative_cost: f64) -> Millis {
         self.by_class[class].value * relative_cost
     }
 
-    /// Mean square of latency over its expected value; 2 for an exponential distribution.
+    /// Mean square of the ratio of a latency to its expected value; 2 for an exponential distribution.
     pub fn spread(&self) -> f64 {
         self.spread.value
     }
 
-    /// By which factor an endpoint is faster for a key that it has met.
+    /// The factor by which an endpoint serves a key faster if it has served the key before.
     pub fn affinity_speedup(&self) -> f64 {
         self.affinity.speedup()
     }
 
-    /// Service time of the slowest class of machines.
+    /// Service time of the slowest machine class.
     pub fn slowest_service_time(&self) -> Millis {
         self.slowest_service_time
     }
@@ -138,32 +139,33 @@
         &mut self.machine_classes[class.as_usize()]
     }
 
-    /// Makes room for a class of machines that the list has named.
+    /// Adds a machine class that the endpoint list names, unless it is present.
     pub fn add_machine_class(&mut self, class: MachineClassIndex) {
         let count = self.machine_classes.len().max(class.as_usize() + 1);
         self.machine_classes.resize_with(count, MachineClass::default);
     }
 
-    /// How fast an endpoint is at that slow-start factor, crossings of zones counted as a delay.
+    /// The speed of an endpoint at this slow-start factor; the price of crossing zones counts as a delay.
     pub fn speed_of(
         &self, entry: &EndpointEntry, slow_start_factor: f64, settings: &Settings,
     ) -> EndpointSpeed {
-        let of_class = self.machine_class(entry.machine_class).relative_latency.value;
-        let own = entry.relative_latency;
-        let relative = (own.value * own.weight + of_class * MIN_SAMPLES) / (own.weight + MIN_SAMPLES);
+        let class_mean = self.machine_class(entry.machine_class).relative_latency.value;
+        let measured = entry.relative_latency;
+        let relative =
+            (measured.value * measured.weight + class_mean * MIN_SAMPLES) / (measured.weight + MIN_SAMPLES);
         let crosses_zones = entry.crosses_zones_from(settings.zone);
         let crossing = CROSSING_FACTOR * settings.prices.cross_zone * self.longest_objective / self.mean;
         let cost = relative / slow_start_factor + if crosses_zones { crossing } else { 0.0 };
-        // How much longer the path to another zone is shows in the lowest latencies; the rest is the endpoint's.
-        let path = self.lowest.path_between_zones();
+        // The lowest latencies show how much the path to another zone adds; the rest is spent at the endpoint.
+        let path = self.lowest.cross_zone_delay();
         let latency = (relative / slow_start_factor * self.mean).max(1e-3);
-        let on_path = if crosses_zones { path.min(MAX_PATH_FRACTION * latency) } else { 0.0 };
-        let processing = latency - on_path;
+        let path_latency = if crosses_zones { path.min(MAX_PATH_FRACTION * latency) } else { 0.0 };
+        let processing = latency - path_latency;
         EndpointSpeed { cost, processing_fraction: processing / (processing + path) }
     }
 
-    /// Learns from a response how fast an endpoint is. Failures and endpoints in slow start say nothing of their
-    /// class.
+    /// Updates the latency estimates from a response. Failures are not recorded, and responses of endpoints in slow
+    /// start don't count for the means of their request class and machine class, since neither is typical of the class.
     pub fn record(&mut self, entry: &mut EndpointEntry, sample: &LatencySample, crosses_zones: bool) {
         let slow_start_factor = entry.slow_start_factor;
         self.affinity.record(
@@ -189,30 +191,31 @@
     }
 
     fn record_spread(&mut self, relative: f64, endpoint_mean: f64) {
-        let over_mean = (relative / endpoint_mean.max(MIN_RELATIVE_LATENCY)).min(HANG_FACTOR);
-        self.spread.add(over_mean * over_mean, SPREAD_SAMPLES);
+        let ratio = (relative / endpoint_mean.max(MIN_RELATIVE_LATENCY)).min(HANG_FACTOR);
+        self.spread.add(ratio * ratio, SPREAD_SAMPLES);
     }
 
-    /// Sets the mean of the endpoints' relative latencies to 1 and the classes' means accordingly. Only their products
-    /// are measured: without this each would keep for good what the other was first taken for.
+    /// Scales the endpoints' relative latencies to a mean of 1, and the request classes' means inversely. Responses
+    /// only show the product of the two: without this, an error in the initial value of one would stay in the other for
+    /// good.
     pub fn normalize(&mut self, endpoints: &mut EndpointTable) {
         let (sum, weight) = endpoints.in_service().fold((0.0, 0.0), |(sum, weight), entry| {
-            let own = entry.relative_latency;
-            (sum + own.value * own.weight, weight + own.weight)
+            let latency = entry.relative_latency;
+            (sum + latency.value * latency.weight, weight + latency.weight)
         });
         if weight < 1.0 {
             return;
         }
         let mean = (sum / weight).max(1e-6);
         self.by_class.iter_mut().for_each(|class| class.value *= mean);
-        let of_endpoints = endpoints.iter_mut().map(|entry| &mut entry.relative_latency);
-        let of_machines = self.machine_classes.iter_mut().map(|class| &mut class.relative_latency);
-        for relative in of_endpoints.chain(of_machines).filter(|relative| relative.weight > 0.0) {
+        let endpoint_latencies = endpoints.iter_mut().map(|entry| &mut entry.relative_latency);
+        let machine_latencies = self.machine_classes.iter_mut().map(|class| &mut class.relative_latency);
+        for relative in endpoint_latencies.chain(machine_latencies).filter(|relative| relative.weight > 0.0) {
             relative.value /= mean;
         }
     }
 
-    /// Computes the mean latency over all request classes anew, by their responses.
+    /// Recomputes the mean latency over all request classes, weighted by their responses.
     pub fn update_mean(&mut self) {
         let (sum, weight) = self.by_class.iter().fold((0.0, 0.0), |(sum, weight), class| {
             (sum + class.value * (class.weight + PRIOR_WEIGHT), weight + class.weight + PRIOR_WEIGHT)
@@ -220,7 +223,7 @@
         self.mean = if weight > 0.0 { (sum / weight).max(0.01) } else { 1.0 };
     }
 
-    /// Follows the baselines of paths and classes of machines.
+    /// Updates the lowest latencies of paths and the baselines of machine classes.
     pub fn review_baselines(&mut self) {
         self.lowest.age();
         for class in &mut self.machine_classes {
@@ -230,7 +233,7 @@
         self.slowest_service_time = service_times.fold(0.0, f64::max);
     }
 
-    /// Takes other request classes; each inherits the mean of the one that is named for it.
+    /// Switches to other request classes. Each one inherits the mean of the old class in `inherits_from`, if any.
     pub fn reconfigure(&mut self, classes: &[RequestClass], inherits_from: &[Option<usize>]) {
         self.by_class = crate::reconfigure::inherit(&self.by_class, inherits_from, |class| {
             initial_latency(&classes[class])
@@ -238,27 +241,27 @@
         self.longest_objective = longest_objective(classes);
     }
 
-    /// What a successor takes over of request classes.
+    /// Mean latencies of the request classes, for the handover to a successor.
     pub fn learned_classes(&self) -> Vec<WeightedMean> {
         self.by_class.clone()
     }
 
-    /// What a successor takes over of classes of machines.
+    /// Estimates for the machine classes, for the handover to a successor.
     pub fn learned_machine_classes(&self) -> Vec<MachineClassState> {
         self.machine_classes.iter().map(MachineClass::learned_state).collect()
     }
 
-    /// Takes over what a predecessor has learned.
+    /// Restores the usable estimates that a predecessor handed over.
     pub fn restore(&mut self, classes: Vec<WeightedMean>, machine_classes: Vec<MachineClassState>) {
-        for (own, learned) in self.by_class.iter_mut().zip(classes) {
+        for (current, learned) in self.by_class.iter_mut().zip(classes) {
             if learned.is_usable() {
-                *own = learned;
+                *current = learned;
             }
         }
         let count = self.machine_classes.len().max(machine_classes.len());
         self.machine_classes.resize_with(count, MachineClass::default);
-        for (own, learned) in self.machine_classes.iter_mut().zip(machine_classes) {
-            own.restore(learned);
+        for (current, learned) in self.machine_classes.iter_mut().zip(machine_classes) {
+            current.restore(learned);
         }
         self.update_mean();
     }
--- a/crates/core/src/estimators/request_cost.rs
+++ b/crates/core/src/estimators/request_cost.rs
@@ -1,25 +1,25 @@
-//! The expected cost of a request relative to its class.
+//! Estimates the cost of a request relative to the mean of its class.
 
 use crate::ids::Millis;
 use crate::settings::RequestClass;
 use crate::weighted_mean::WeightedMean;
 
-/// Requests over which the expected cost of a class is averaged.
+/// Number of requests over which the expected cost of a class is averaged.
 const SAMPLES: f64 = 100.0;
-/// A single request counts at most so many times the mean of its class.
+/// Upper bound of the cost of a single request in the mean of its class, as a multiple of that mean.
 const MAX_SAMPLE: f64 = 10.0;
-/// Bounds of a relative cost.
+/// Bounds of the relative cost of a request.
 const RELATIVE_COST: std::ops::RangeInclusive<f64> = 0.05..=50.0;
 
-/// What a request is expected to take.
+/// The expected cost of a request and the latency objective that follows from it.
 pub(crate) struct RequestCost {
-    /// Its cost relative to the mean of its class.
+    /// The cost of the request relative to the mean of its class.
     pub relative: f64,
     /// The duration within which a response earns the full weight.
     pub latency_objective: Millis,
 }
 
-/// Mean expected cost by request class.
+/// The mean expected cost of each request class.
 pub(crate) struct RequestCosts {
     by_class: Vec<WeightedMean>,
 }
@@ -29,7 +29,7 @@
         RequestCosts { by_class: vec![WeightedMean::guess(1.0); classes] }
     }
 
-    /// Takes in the expected cost that a request came with, if any.
+    /// Assesses a request by the expected cost that it states, if any, and updates the mean of its class.
     pub fn assess(
         &mut self, class_index: usize, class: &RequestClass, expected: Option<Millis>,
     ) -> RequestCost {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes other classes; each inherits the mean of the one that is named for it.
+    /// Switches to other request classes. Each one inherits the mean of the old class in `inherits_from`, if any.
     pub fn reconfigure(&mut self, inherits_from: &[Option<usize>]) {
         self.by_class =
             crate::reconfigure::inherit(&self.by_class, inherits_from, |_| WeightedMean::guess(1.0));
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -1,4 +1,4 @@
-//! Hashes that every proxy computes alike.
+//! Hash functions that give the same results in every proxy.
 
 const FIRST_MULTIPLIER: u64 = 0xbf58_476d_1ce4_e5b9;
 const SECOND_MULTIPLIER: u64 = 0x94d0_49bb_1331_11eb;
@@ -11,14 +11,14 @@
     bits ^ (bits >> 31)
 }
 
-/// A number in [0, 1) that depends on both arguments alone.
+/// A uniformly distributed number in [0, 1) that depends only on the two arguments.
 pub(crate) fn unit_hash(first: u64, second: u64) -> f64 {
     let bits = mix(first ^ mix(second.wrapping_add(GOLDEN_RATIO)));
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The score of an endpoint in weighted rendezvous hashing. The exponent and mantissa of a float stand in for its
-/// logarithm.
+/// The score of an endpoint in weighted rendezvous hashing; the lowest score wins. The logarithm of the uniform hash is
+/// approximated by the exponent and mantissa bits of the float.
 pub(crate) fn rendezvous_score(endpoint: u64, key: u64, weight: f64) -> f64 {
     let uniform = unit_hash(endpoint, key) + 1e-12;
     (1023.0 - uniform.to_bits() as f64 / (1u64 << 52) as f64) * weight
--- a/crates/core/src/limits/mod.rs
+++ b/crates/core/src/limits/mod.rs
@@ -1,4 +1,4 @@
-//! Limits on what is sent: quotas of tenants, the retry budget, and concurrency.
+//! Limits on the requests that are sent: tenant quotas, the retry budget, and concurrency.
 
 mod capacity_sharing;
 mod concurrency;
--- a/crates/core/src/limits/retry_budget.rs
+++ b/crates/core/src/limits/retry_budget.rs
@@ -1,13 +1,13 @@
-//! A budget of retries, so that failures don't multiply the load.
+//! Limits retries to a fraction of the requests, so that failures don't multiply the load.
 
-/// Retries that each arriving request adds to the budget.
+/// Number of retries that each arriving request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.15;
-/// Retries that may be saved up.
+/// Upper bound of the budget, in retries.
 const MAX_RETRIES: f64 = 20.0;
-/// Retries at the start.
+/// The budget at process start, in retries.
 const INITIAL_RETRIES: f64 = 2.0;
 
-/// The retries that may still be made. Arriving requests fill it.
+/// The number of retries that may still be made; arriving requests add to it.
 pub(crate) struct RetryBudget {
     retries: f64,
 }
@@ -17,22 +17,22 @@
         RetryBudget { retries: INITIAL_RETRIES }
     }
 
-    /// A request has arrived.
+    /// Adds to the budget for a request that has arrived.
     pub fn refill(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRIES);
     }
 
-    /// Whether there is enough left for so many retries.
+    /// Whether the budget covers this number of retries.
     pub fn covers(&self, retries: f64) -> bool {
         self.retries >= retries
     }
 
-    /// Takes so many retries off.
+    /// Takes this number of retries from the budget.
     pub fn spend(&mut self, retries: f64) {
         self.retries -= retries;
     }
 
-    /// Retries left.
+    /// Number of retries left in the budget.
     pub fn remaining(&self) -> f64 {
         self.retries
     }
--- a/crates/core/src/limits/tenant_quotas.rs
+++ b/crates/core/src/limits/tenant_quotas.rs
@@ -1,12 +1,13 @@
-//! Token buckets of the tenants.
+//! Enforces the quotas of tenants by token buckets.
 
 use crate::ids::{Millis, TenantId};
 use crate::settings::Settings;
 
-/// Requests of a quota that may be saved up, as a duration.
+/// The size of a token bucket, as the duration in which the quota fills it. One token is added to this size.
 const MAX_SAVED: Millis = 1000.0;
 
-/// Requests that each tenant may still send within its quota. Each proxy enforces an equal part of it.
+/// The tokens of each tenant: requests that it may still send within its quota. Each proxy enforces an equal part of
+/// each quota.
 pub(crate) struct TenantQuotas {
     tokens: Vec<f64>,
 }
@@ -16,7 +17,7 @@
         TenantQuotas { tokens: vec![1.0; tenants] }
     }
 
-    /// Takes one request off a tenant's quota; whether there was any left. An unknown tenant has no limit.
+    /// Takes a token for a request of a tenant; returns whether there was one. An unknown tenant has no limit.
     pub fn take(&mut self, tenant: TenantId) -> bool {
         let Some(tokens) = self.tokens.get_mut(tenant.0) else { return true };
         let is_within = *tokens >= 1.0;
@@ -26,7 +27,7 @@
         is_within
     }
 
-    /// Adds what has become free in that time.
+    /// Adds the tokens for the elapsed time.
     pub fn refill(&mut self, elapsed: Millis, settings: &Settings) {
         for (tokens, tenant) in self.tokens.iter_mut().zip(&settings.tenants) {
             let per_ms = tenant.quota_per_second / 1000.0 / f64::from(settings.proxies);
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Takes another number of tenants.
+    /// Switches to another number of tenants; new ones start with one token.
     pub fn reconfigure(&mut self, tenants: usize) {
         self.tokens.resize(tenants, 1.0);
     }
--- a/crates/core/src/machine_class.rs
+++ b/crates/core/src/machine_class.rs
@@ -1,40 +1,43 @@
-//! How fast the endpoints of one class of machines are, and how many requests suit them.
+//! Estimates how fast the endpoints of a machine class are, and how many requests they should hold.
 
 use crate::ids::{MachineClassId, Millis};
 use crate::learned_state::MachineClassState;
 use crate::weighted_mean::WeightedMean;
 
-/// Responses over which the latency of a request class or a class of machines is averaged.
+/// Number of responses over which the latency of a request class or a machine class is averaged.
 pub(crate) const CLASS_SAMPLES: f64 = 100.0;
-/// An estimate with fewer samples than this counts less than that of its class of machines.
+/// Number of samples above which the estimate of an endpoint counts more than that of its machine class. Estimates of a
+/// machine class are used from this number of samples on.
 pub(crate) const MIN_SAMPLES: f64 = 6.0;
-/// The lowest fraction of its slots that an overloaded class of machines keeps.
+/// The lowest fraction of its slots that an overloaded machine class keeps.
 const MIN_CONCURRENCY_FACTOR: f64 = 0.3;
-/// The fraction of its slots that a new class of machines gets: an overload from the start must not pass for its
-/// baseline.
+/// The fraction of its slots that a new machine class gets. It is low so that the latency under an initial overload is
+/// not measured as the baseline.
 const INITIAL_CONCURRENCY_FACTOR: f64 = 0.5;
 /// Bounds of the change of the concurrency factor in one review.
 const CONCURRENCY_STEP: std::ops::RangeInclusive<f64> = 0.95..=1.02;
-/// Latency over its baseline at which a class of machines counts as overloaded.
+/// The ratio of latency to its baseline above which a machine class counts as overloaded.
 const OVERLOAD_RATIO: f64 = 1.6;
-/// Responses before the baseline of a class is measured: the lowest of few is too low.
+/// Number of responses before the baseline of a machine class is measured, since the minimum of few samples is too low.
 const BASELINE_SAMPLES: f64 = 60.0;
-/// By which factor the baseline may rise in one review: a tenth in ten seconds.
+/// The factor by which the baseline may rise in one review, which is about a tenth in ten seconds.
 pub(crate) const BASELINE_RISE: f64 = 1.001;
-/// The same where the lowest concurrency has not brought the latency down: the baseline was too low.
+/// The factor by which the baseline may rise in one review if the latency stays high at the lowest concurrency, which
+/// shows that the baseline was too low.
 const FAST_BASELINE_RISE: f64 = 1.01;
-/// A single response counts at most so many times the mean: a few slow endpoints are not the class.
+/// Upper bound of a single sample, as a multiple of the mean, so that a few slow endpoints don't dominate the estimate
+/// of their class.
 const MAX_SAMPLE: f64 = 2.0;
-/// Lower bound of a relative latency from which a service time follows.
+/// Lower bound of the relative latency of a machine class, from which its mean latency is computed.
 const MIN_RELATIVE_LATENCY: f64 = 0.2;
 
-/// The position of a class of machines; the first is that of endpoints without one.
+/// The position of a machine class; the first position is used for endpoints without a machine class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct MachineClassIndex(usize);
 
 impl MachineClassIndex {
-    /// The position of the class that the list names.
-    pub fn of(class: Option<MachineClassId>) -> Self {
+    /// The position of the machine class that the endpoint list names, if any.
+    pub fn from_id(class: Option<MachineClassId>) -> Self {
         MachineClassIndex(class.map_or(0, |class| class.0 as usize + 1))
     }
 
@@ -43,19 +46,19 @@
     }
 }
 
-/// What is known of a class of machines.
+/// The estimates for a machine class: latency, service time, cores, and the slots that suit it.
 pub(crate) struct MachineClass {
-    /// Mean latency relative to the request classes' means.
+    /// Mean latency relative to the means of the request classes.
     pub relative_latency: WeightedMean,
-    /// Mean latency of requests that found an endpoint without load.
+    /// Mean latency of requests whose endpoint had no load when they were sent.
     unloaded: WeightedMean,
-    /// Mean latency on a core of its own.
+    /// Mean latency of a request that has a core to itself.
     service_time: Millis,
-    /// Cores of an endpoint, as inferred from weights and service times.
+    /// Number of cores of an endpoint, inferred from weights and service times.
     cores: f64,
-    /// The lowest mean latency of late.
+    /// The lowest recent mean latency.
     baseline: Millis,
-    /// The fraction of its slots that it is given.
+    /// The fraction of its slots that each endpoint of the class gets.
     concurrency_factor: f64,
 }
 
@@ -73,7 +76,7 @@
 }
 
 impl MachineClass {
-    /// Whether enough responses have shown how fast it is.
+    /// Whether enough responses have been recorded for an estimate of latency.
     pub fn is_measured(&self) -> bool {
         self.relative_latency.weight >= MIN_SAMPLES
     }
@@ -86,34 +89,34 @@
         self.concurrency_factor
     }
 
-    /// The cores of an endpoint of that weight: on the slowest class of machines a core has about the speed of the
-    /// yardstick.
+    /// The number of cores of an endpoint with this weight. Weights count cores of a reference speed, which is assumed
+    /// to be about the speed of a core of the slowest machine class.
     pub fn cores_of(&self, weight: f64, slowest_service_time: Millis) -> f64 {
         weight * (self.service_time / slowest_service_time).min(1.0)
     }
 
-    /// Sets the cores of an endpoint, as inferred.
+    /// Sets the inferred number of cores of an endpoint, at least 1.
     pub fn set_cores(&mut self, cores: f64) {
         self.cores = cores.max(1.0);
     }
 
-    /// Its service time if that has been measured.
+    /// The service time, if it has been measured.
     pub fn measured_service_time(&self) -> Option<Millis> {
         Some(self.service_time).filter(|time| time.is_finite())
     }
 
-    /// How long a request of mean cost occupies a core. Waits under load are not work.
+    /// The time for which a request of mean cost occupies a core, without waiting times under load.
     pub fn work_per_request(&self, mean_latency: Millis) -> Millis {
         self.service_time.min(self.mean_latency(mean_latency))
     }
 
-    /// Its latency for a request of mean cost.
+    /// The latency of this class for a request of mean cost, given the mean latency of all endpoints.
     pub fn mean_latency(&self, mean_latency: Millis) -> Millis {
         mean_latency * self.relative_latency.value.max(MIN_RELATIVE_LATENCY)
     }
 
-    /// Takes in a response, as a latency relative to the expected one of its request class. `unloaded` says that the
-    /// request found the endpoint without load.
+    /// Records a response by its latency relative to the expected one of its request class. `unloaded` means that the
+    /// endpoint had no load when the request was sent.
     pub fn record(&mut self, relative: f64, mean_latency: Millis, unloaded: bool) {
         let is_first = self.relative_latency.weight == 0.0;
         let sample = if is_first { relative } else { relative.min(MAX_SAMPLE * self.relative_latency.value) };
@@ -123,28 +126,28 @@
         }
     }
 
-    /// Follows the baseline, and gives the class fewer slots while its latency is far above it: overloaded endpoints
-    /// are all alike slow and look as if they had more cores.
+    /// Updates the baseline, and reduces the slots of the class while its latency is far above the baseline. Overloaded
+    /// endpoints of a class are all equally slow and would otherwise look as if they had more cores.
     pub fn review(&mut self, mean_latency: Millis) {
         if self.relative_latency.weight < BASELINE_SAMPLES {
             return;
         }
         let latency = self.relative_latency.value * mean_latency;
         if !self.baseline.is_finite() {
-            self.concurrency_factor = 1.0; // measured for the first time
+            self.concurrency_factor = 1.0; // this is the first measurement
         }
         let is_at_minimum = self.concurrency_factor <= MIN_CONCURRENCY_FACTOR;
         let rise = if is_at_minimum { FAST_BASELINE_RISE } else { BASELINE_RISE };
         self.baseline = latency.min(self.baseline * rise);
-        let has_unloaded = self.unloaded.weight >= MIN_SAMPLES;
-        self.service_time = if has_unloaded { self.unloaded.value } else { self.baseline };
+        let has_unloaded_samples = self.unloaded.weight >= MIN_SAMPLES;
+        self.service_time = if has_unloaded_samples { self.unloaded.value } else { self.baseline };
         let acceptable = self.baseline.max(self.service_time * (1.0 + 0.5 / self.cores));
         let step =
             (OVERLOAD_RATIO * acceptable / latency).clamp(*CONCURRENCY_STEP.start(), *CONCURRENCY_STEP.end());
         self.concurrency_factor = (self.concurrency_factor * step).clamp(MIN_CONCURRENCY_FACTOR, 1.0);
     }
 
-    /// What a successor takes over.
+    /// The estimates for the handover to a successor.
     pub fn learned_state(&self) -> MachineClassState {
         MachineClassState {
             relative_latency: self.relative_latency,
@@ -153,7 +156,7 @@
         }
     }
 
-    /// Takes over what a predecessor has learned, if that is of use.
+    /// Restores the estimates that a predecessor handed over, if they are usable.
     pub fn restore(&mut self, learned: MachineClassState) {
         if learned.relative_latency.is_usable() && learned.baseline > 0.0 && learned.concurrency_factor > 0.0
         {
--- a/crates/core/src/outlier_detector.rs
+++ b/crates/core/src/outlier_detector.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: what is common to all endpoints, and whether ejections are believed.
+//! Outlier detection across all endpoints: failure rate limits, and whether ejections are applied or ignored.
 
 use crate::endpoints::{EndpointEntry, EndpointTable};
 use crate::gossip::REPORT_EXPIRY;
@@ -7,28 +7,30 @@
 
 /// Failure rate above which an endpoint is ejected.
 const MAX_FAILURE_RATE: f64 = 0.4;
-/// The limit is at least so many times the median failure rate...
+/// The failure rate limit is at least this multiple of the median failure rate, up to `MAX_LIMIT`.
 const MEDIAN_FACTOR: f64 = 3.0;
-/// ...up to this bound.
+/// Upper bound of the failure rate limit.
 const MAX_LIMIT: f64 = 0.85;
-/// With more than this part ejected, as a whole or for a class, ejections are ignored.
+/// Ejections are ignored while more than this fraction of the endpoints is ejected. The same fraction applies to
+/// ejections for a single request class.
 pub(crate) const PANIC_THRESHOLD: f64 = 0.9;
-/// The same with more than this part, if as few attempts are served.
+/// Ejections are also ignored while more than this fraction of the endpoints is ejected and less than this fraction of
+/// attempts succeeds.
 const PANIC_THRESHOLD_UNDER_FAILURES: f64 = 0.5;
-/// Attempts over which the success rate is averaged.
+/// Number of attempts over which the success rate is averaged.
 const SUCCESS_SAMPLES: f64 = 100.0;
-/// Reports of other proxies from which on an endpoint is avoided.
+/// Number of proxies that have to report an endpoint as an outlier before it is avoided.
 const MIN_REPORTS: u32 = 2;
 
-/// What is common to all endpoints, against which each is judged.
+/// Failure statistics of all endpoints, with which each endpoint is compared.
 pub(crate) struct OutlierDetector {
     median_failure_rate: f64,
     median_failure_rate_by_class: Vec<f64>,
-    /// The part of the endpoints that is ejected for a class alone.
+    /// The fraction of the endpoints that is ejected for a single request class, by class.
     ejected_fraction_by_class: Vec<f64>,
-    /// So many endpoints look unhealthy that ejections are ignored.
+    /// Whether so many endpoints look unhealthy that ejections are ignored.
     panic_mode: bool,
-    /// Running mean of attempts that were served.
+    /// Running mean of the fraction of attempts that were served.
     success_rate: f64,
 }
 
@@ -48,49 +50,50 @@
         self.panic_mode
     }
 
-    /// The part of the endpoints that is ejected for a class alone.
+    /// The fraction of the endpoints that is ejected for this request class alone.
     pub fn ejected_fraction(&self, class: usize) -> f64 {
         self.ejected_fraction_by_class[class]
     }
 
-    /// Whether ejections for a class count; they are ignored where nearly all endpoints are ejected for it.
+    /// Whether ejections for this request class apply; they are ignored if nearly all endpoints are ejected for it.
     pub fn believes_class_ejections(&self, class: usize) -> bool {
         self.ejected_fraction_by_class[class] <= PANIC_THRESHOLD
     }
 
-    /// Counts the end of an attempt.
+    /// Updates the success rate with the result of an attempt.
     pub fn record_attempt(&mut self, served: bool) {
         self.success_rate += (f64::from(u8::from(served)) - self.success_rate) / SUCCESS_SAMPLES;
     }
 
-    /// The failure rates above which an endpoint is ejected.
+    /// The failure rates above which an endpoint is ejected, as a whole and for this request class.
     pub fn limits(&self, class: usize) -> FailureRateLimits {
         FailureRateLimits {
             overall: self.limit(self.median_failure_rate),
-            of_class: self.limit(self.median_failure_rate_by_class[class]),
+            for_class: self.limit(self.median_failure_rate_by_class[class]),
         }
     }
 
-    /// The failure rate above which an endpoint is ejected. What affects all alike is no fault of one: ejected for it
-    /// one by one, they would leave none to serve. Nor do two failures in a row tell an outlier where some fail
-    /// everywhere.
+    /// The failure rate above which an endpoint is ejected. It rises with failures that affect all endpoints: otherwise
+    /// one endpoint after another would be ejected for them until none is left. Two failures in a row don't mark an
+    /// outlier either where some attempts fail at every endpoint.
     fn limit(&self, median_failure_rate: f64) -> f64 {
-        let common = MEDIAN_FACTOR * (1.0 - self.success_rate);
-        (MAX_FAILURE_RATE + common).max(MEDIAN_FACTOR * median_failure_rate).min(MAX_LIMIT)
+        let common_rate = MEDIAN_FACTOR * (1.0 - self.success_rate);
+        (MAX_FAILURE_RATE + common_rate).max(MEDIAN_FACTOR * median_failure_rate).min(MAX_LIMIT)
     }
 
-    /// Whether an endpoint may be sent anything at all at present.
+    /// Whether any requests may be sent to an endpoint at present.
     pub fn is_usable(&self, entry: &EndpointEntry, now: Millis) -> bool {
         let record = &entry.outlier;
         let is_reported =
             entry.outlier_reports >= MIN_REPORTS && now - record.last_response_at() > REPORT_EXPIRY;
         let is_unhealthy = record.is_ejected(now) || is_reported;
-        // Panic mode opens endpoints that look unhealthy, not those that merely have no capacity left.
+        // Panic mode readmits endpoints that look unhealthy, except for those that reject requests for lack of
+        // capacity.
         let is_ignored = self.panic_mode && !record.is_rejecting();
         entry.is_in_service() && (!is_unhealthy || is_ignored)
     }
 
-    /// Computes the common figures anew.
+    /// Recomputes the statistics of all endpoints.
     pub fn review(&mut self, endpoints: &EndpointTable, now: Millis) {
         let in_service: Vec<&EndpointEntry> = endpoints.in_service().collect();
         let overall = in_service.iter().map(|entry| entry.outlier.failure_rate());
@@ -99,7 +102,7 @@
             let rates = in_service.iter().map(|entry| entry.outlier.failure_rate_of_class(class));
             *rate = median(rates.collect());
         }
-        let count = in_service.len() as f64 + 0.01; // no division by zero
+        let count = in_service.len() as f64 + 0.01; // avoids a division by zero
         for (class, fraction) in self.ejected_fraction_by_class.iter_mut().enumerate() {
             let ejected =
                 in_service.iter().filter(|entry| entry.outlier.is_ejected_for_class(class, now)).count();
@@ -113,7 +116,7 @@
                 && self.success_rate < PANIC_THRESHOLD_UNDER_FAILURES;
     }
 
-    /// Takes other request classes; each inherits the figures of the one that is named for it.
+    /// Switches to other request classes. Each one inherits the statistics of the old class in `inherits_from`, if any.
     pub fn reconfigure(&mut self, inherits_from: &[Option<usize>]) {
         self.ejected_fraction_by_class =
             crate::reconfigure::inherit(&self.ejected_fraction_by_class, inherits_from, |_| 0.0);
--- a/crates/core/src/outlier_record.rs
+++ b/crates/core/src/outlier_record.rs
@@ -2,23 +2,25 @@
 
 use crate::ids::Millis;
 
-/// Weight of a failure in a failure rate: two in a row eject.
+/// The weight of a failure in the running failure rate. With this weight two failures in a row lead to an ejection.
 const FAILURE_GAIN: f64 = 0.3;
-/// Duration of a first ejection; it doubles with each failure on probation.
+/// Duration of the first ejection; it doubles with each failure on probation.
 const BASE_EJECTION_TIME: Millis = 250.0;
-/// Longest duration of an ejection: an endpoint that works again is found within this.
+/// The longest duration of an ejection, and so the longest time after which an endpoint that has recovered is used
+/// again.
 pub(crate) const MAX_EJECTION_TIME: Millis = 4000.0;
-/// An ejection for one request class alone lasts so many times longer, as each trial may cost a request.
+/// The factor by which an ejection for a single request class lasts longer, as each trial after it may fail a request.
 const CLASS_EJECTION_FACTOR: f64 = 4.0;
 
-/// How well an endpoint does, as a whole or for one request class.
+/// The health of an endpoint, as a whole or for one request class.
 #[derive(Clone)]
 struct OutlierState {
+    /// Running mean of failures, from 0 to 1.
     failure_rate: f64,
     ejected_until: Millis,
     /// Duration of the next ejection; 0 before the first.
     ejection_time: Millis,
-    /// Back from an ejection, half open: it has to serve requests before it counts as healthy.
+    /// Whether the endpoint, after an ejection, has to serve requests before it counts as healthy (half-open state).
     probation: bool,
 }
 
@@ -35,7 +37,7 @@
         self.ejection_time.max(BASE_EJECTION_TIME)
     }
 
-    /// Ejects for a duration; the next ejection lasts twice as long.
+    /// Ejects the endpoint for `duration` and doubles the duration of the next ejection.
     fn eject(&mut self, now: Millis, duration: Millis) {
         self.ejected_until = now + duration;
         self.ejection_time = (2.0 * self.next_ejection_time()).min(MAX_EJECTION_TIME);
@@ -48,7 +50,7 @@
         if !self.probation {
             self.ejection_time = 0.0;
         }
-        // A response also ends an ejection that came of mere slowness.
+        // A response also ends an ejection if the endpoint was only slow.
         if self.failure_rate < limit {
             self.ejected_until = self.ejected_until.min(now);
         }
@@ -62,35 +64,35 @@
     }
 }
 
-/// What an attempt says of its endpoint.
+/// The result of an attempt, as it counts for outlier detection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptResult {
-    /// It was served.
+    /// The attempt was served.
     Success,
-    /// It failed or got no response.
+    /// The attempt failed or got no response.
     Failure,
-    /// It was rejected for want of capacity.
+    /// The endpoint rejected the attempt for lack of capacity.
     Rejection,
 }
 
-/// Failure rates above which an endpoint is ejected.
+/// The failure rates above which an endpoint is ejected.
 #[derive(Clone, Copy)]
 pub(crate) struct FailureRateLimits {
-    /// As a whole.
+    /// The limit of the failure rate over all request classes.
     pub overall: f64,
-    /// For one request class.
-    pub of_class: f64,
+    /// The limit of the failure rate for a single request class.
+    pub for_class: f64,
 }
 
-/// Failures and timeouts of an endpoint.
+/// Failures, timeouts and ejections of an endpoint.
 pub(crate) struct OutlierRecord {
     overall: OutlierState,
     by_class: Vec<OutlierState>,
-    /// Its last failure was a rejection for want of capacity.
+    /// Whether the last failure was a rejection for lack of capacity.
     rejecting: bool,
-    /// Last response, or the send that ended its idleness.
+    /// Time of the last response, or of a later send to the endpoint while it was idle.
     last_response_at: Millis,
-    /// Attempts that timed out in place since the last response.
+    /// Number of attempts since the last response that counted as unanswered while they were still in flight.
     unanswered: u32,
 }
 
@@ -105,23 +107,23 @@
         }
     }
 
-    /// Takes in the result of an attempt, for the endpoint as a whole and for the request class alone: some fail or
-    /// ignore one class and look healthy by the others. `jitter` spreads the ends of ejections.
+    /// Records the result of an attempt for the endpoint as a whole and for the request class, since an endpoint may
+    /// fail or ignore one class and look healthy by the others. `jitter` spreads the ends of ejections over time.
     pub fn record(
         &mut self, result: AttemptResult, class: usize, limits: FailureRateLimits, now: Millis, jitter: f64,
     ) {
-        let of_class = &mut self.by_class[class];
+        let class_state = &mut self.by_class[class];
         match result {
             AttemptResult::Success => {
                 self.last_response_at = now;
                 self.unanswered = 0;
                 self.overall.record_success(now, limits.overall);
-                of_class.record_success(now, limits.of_class);
+                class_state.record_success(now, limits.for_class);
             }
             AttemptResult::Failure | AttemptResult::Rejection => {
                 self.rejecting = result == AttemptResult::Rejection;
                 self.overall.record_failure(now, limits.overall, 1.0, jitter);
-                of_class.record_failure(now, limits.of_class, CLASS_EJECTION_FACTOR, jitter);
+                class_state.record_failure(now, limits.for_class, CLASS_EJECTION_FACTOR, jitter);
             }
         }
     }
@@ -131,23 +133,23 @@
         self.overall.failure_rate
     }
 
-    /// Running mean of failures of a request class.
+    /// Running mean of failures of this request class.
     pub fn failure_rate_of_class(&self, class: usize) -> f64 {
         self.by_class[class].failure_rate
     }
 
-    /// Last response, or the send that ended its idleness.
+    /// Time of the last response, or of a later send to the endpoint while it was idle.
     pub fn last_response_at(&self) -> Millis {
         self.last_response_at
     }
 
-    /// Nothing is held against it any more.
+    /// Ends all ejections and clears all failure rates.
     pub fn reset(&mut self, now: Millis) {
         self.overall = OutlierState::healthy(now);
         self.by_class.fill(OutlierState::healthy(now));
     }
 
-    /// Takes other request classes; each inherits the state of the one that is named for it.
+    /// Switches to other request classes. Each one inherits the state of the old class in `inherits_from`, if any.
     pub fn reconfigure(&mut self, inherits_from: &[Option<usize>], now: Millis) {
         self.by_class =
             crate::reconfigure::inherit(&self.by_class, inherits_from, |_| OutlierState::healthy(now));
@@ -169,28 +171,29 @@
         self.by_class[class].probation
     }
 
-    /// Whether its last failure was a rejection for want of capacity.
+    /// Whether the last failure was a rejection for lack of capacity.
     pub fn is_rejecting(&self) -> bool {
         self.rejecting
     }
 
-    /// An attempt was sent while none was in flight: silence counts from here.
+    /// Records a send to an idle endpoint: the time without a response is measured from this moment.
     pub fn record_first_send(&mut self, now: Millis) {
         self.last_response_at = now;
     }
 
-    /// An attempt has timed out in place. If another one did so before it and there has been no response since, the
-    /// endpoint hangs and is ejected; one lost response is no hang, as an endpoint may have one slot only.
+    /// Whether an attempt that has been in flight for too long shows that the endpoint hangs and has to be ejected.
+    /// This takes an earlier unanswered attempt and no response since. A single lost response is no proof, as the
+    /// endpoint may have only one slot.
     pub fn is_hanging(&self, now: Millis, timeout: Millis) -> bool {
         self.unanswered > 0 && !self.is_ejected(now) && now - self.last_response_at > timeout
     }
 
-    /// Counts an attempt that timed out in place.
+    /// Counts an attempt that is still in flight as unanswered.
     pub fn record_unanswered(&mut self) {
         self.unanswered += 1;
     }
 
-    /// Ejects an endpoint that hangs, at least for that duration.
+    /// Ejects an endpoint that hangs, for at least `min_duration`.
     pub fn eject_hanging(&mut self, now: Millis, min_duration: Millis) {
         let duration = self.overall.next_ejection_time().max(min_duration);
         self.overall.eject(now, duration);
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -1,4 +1,4 @@
-//! Open requests: their records, the queues in which they wait, and attempts that were given up.
+//! Open requests: their records, the queues in which they wait, and abandoned attempts.
 
 mod abandoned;
 mod priority;
--- a/crates/core/src/requests/priority.rs
+++ b/crates/core/src/requests/priority.rs
@@ -1,4 +1,4 @@
-//! Which waiting request goes first, and which is shed first.
+//! Priorities of waiting requests, which decide which one is sent first and which one is shed first.
 
 use std::cmp::Ordering;
 
@@ -7,19 +7,19 @@
 use crate::ids::Millis;
 use crate::settings::Settings;
 
-/// The fraction of the latency objective over which slack lowers the priority.
+/// The slack that lowers the urgency by a factor of e, as a fraction of the latency objective.
 const SLACK_FRACTION: f64 = 0.5;
-/// Lower bound of a class's mean latency, which is divided by.
+/// Lower bound of the mean latency of a request class, which is used as a divisor.
 const MIN_CLASS_LATENCY: Millis = 0.1;
 
-/// The rank of a waiting request: by weight, then by urgency.
+/// The rank of a waiting request: by weight per unit of work, then by urgency.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 pub(crate) struct Priority {
     weight_per_work: f64,
     urgency: f64,
 }
 
-/// Computes priorities from settings and latencies.
+/// Computes priorities from settings and latency estimates.
 #[derive(Clone, Copy)]
 pub(crate) struct Priorities<'a> {
     pub settings: &'a Settings,
@@ -27,7 +27,7 @@
 }
 
 impl Priorities<'_> {
-    /// The weight that a request earns for the time that it takes.
+    /// The priority weight that a request earns per unit of work, where work is the expected latency.
     pub fn weight_per_work(&self, request: &Request) -> f64 {
         let spec = &request.spec;
         let class = &self.settings.classes[spec.class];
@@ -38,7 +38,8 @@
         weight / self.work(request) * quota_factor
     }
 
-    /// The weight for the time, discounted by the slack: weight decides under overload, urgency otherwise.
+    /// The weight per unit of work, discounted by the slack until the latency objective. Under overload the weight
+    /// decides the order of requests, otherwise the urgency does.
     pub fn urgency(&self, request: &Request, now: Millis) -> f64 {
         let class = &self.settings.classes[request.spec.class];
         let slack = request.spec.objective_at - now - self.work(request);
@@ -47,7 +48,7 @@
         fraction * self.weight_per_work(request) * (-slack.max(0.0) / slack_scale).exp()
     }
 
-    /// The rank of a waiting request.
+    /// The rank of a waiting request at this time.
     pub fn rank(&self, request: &Request, now: Millis) -> Priority {
         Priority { weight_per_work: self.weight_per_work(request), urgency: self.urgency(request, now) }
     }
@@ -57,6 +58,7 @@
         self.urgency(left, now).total_cmp(&self.urgency(right, now))
     }
 
+    /// The expected latency of a request, as a measure of the work that it takes.
     fn work(&self, request: &Request) -> Millis {
         self.latency.of_class(request.spec.class).max(MIN_CLASS_LATENCY) * request.spec.relative_cost
     }
--- a/crates/core/src/requests/queues.rs
+++ b/crates/core/src/requests/queues.rs
@@ -1,4 +1,4 @@
-//! Requests that wait to be sent.
+//! The queues of requests that wait to be sent.
 
 use std::collections::VecDeque;
 
@@ -6,9 +6,9 @@
 use crate::ids::{Millis, RequestId};
 use crate::schedule::TICK;
 
-/// Duration over which the queue length is averaged.
+/// The duration over which the queue length is averaged.
 const AVERAGING_TIME: Millis = 500.0;
-/// Queues of a request class: within their tenant's quota, and beyond it.
+/// Number of queues of a request class: one for requests within their tenant's quota and one for those beyond it.
 const QUEUES_PER_CLASS: usize = 2;
 
 /// The position of a queue.
@@ -17,11 +17,13 @@
 
 /// Waiting requests by class and by whether they are beyond their tenant's quota, oldest first.
 ///
-/// A request leaves its queue when it is sent. One that has stopped to wait for another reason stays in it and is
-/// passed over.
+/// A request leaves its queue when it is sent. A request that no longer waits for another reason stays in its queue and
+/// is skipped there.
 pub(crate) struct RequestQueues {
     queues: Vec<VecDeque<RequestId>>,
+    /// Number of waiting requests in all queues.
     waiting: usize,
+    /// Running mean of `waiting`.
     mean_length: f64,
 }
 
@@ -31,32 +33,32 @@
         RequestQueues { queues, waiting: 0, mean_length: 0.0 }
     }
 
-    /// How many requests wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Running mean of how many wait.
+    /// Running mean of the number of waiting requests.
     pub fn mean_length(&self) -> f64 {
         self.mean_length
     }
 
-    /// Follows the mean length; called once a tick.
+    /// Updates the running mean; called once per tick.
     pub fn update_mean_length(&mut self) {
         self.mean_length += TICK / AVERAGING_TIME * (self.waiting as f64 - self.mean_length);
     }
 
-    /// How many queues there are.
+    /// Number of queues.
     pub fn len(&self) -> usize {
         self.queues.len()
     }
 
-    /// All queues.
+    /// The positions of all queues.
     pub fn indices(&self) -> impl Iterator<Item = QueueIndex> + use<> {
         (0..self.queues.len()).map(QueueIndex)
     }
 
-    /// Adds a request that waits from now on, in front if it has waited before.
+    /// Adds a request that waits from now on, at the front of its queue if `in_front`.
     pub fn push(&mut self, id: RequestId, class: usize, over_quota: bool, in_front: bool) {
         self.waiting += 1;
         let queue = &mut self.queues[class * QUEUES_PER_CLASS + usize::from(over_quota)];
@@ -67,12 +69,12 @@
         }
     }
 
-    /// A request waits no longer.
+    /// Decrements the number of waiting requests. The id of the request stays in its queue until it is removed.
     pub fn stop_waiting(&mut self) {
         self.waiting -= 1;
     }
 
-    /// The request at a position of a queue; those that no longer wait are taken out on the way.
+    /// The waiting request at a position of a queue. Requests found there that no longer wait are removed.
     pub fn waiting_at(
         &mut self, queue: QueueIndex, position: usize, requests: &RequestTable,
     ) -> Option<RequestId> {
@@ -83,7 +85,7 @@
         queue.get(position).copied()
     }
 
-    /// Takes out the request at a position.
+    /// Removes the request at a position of a queue.
     pub fn remove(&mut self, queue: QueueIndex, position: usize) {
         self.queues[queue.0].remove(position);
     }
@@ -93,15 +95,15 @@
         self.queues[queue.0].iter().copied()
     }
 
-    /// Takes out all requests that no longer wait.
+    /// Removes all requests that no longer wait.
     pub fn retain_waiting(&mut self, requests: &RequestTable) {
         for queue in &mut self.queues {
             queue.retain(|&id| requests.is_waiting(id));
         }
     }
 
-    /// Takes another number of classes. Requests that wait stay where they are; a class that is new or has taken a
-    /// number that was free has none waiting.
+    /// Switches to another number of request classes. Waiting requests stay in their queues; a class with a new or
+    /// reused number has no waiting requests.
     pub fn reconfigure(&mut self, classes: usize) {
         self.queues.resize_with(classes * QUEUES_PER_CLASS, VecDeque::new);
     }
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -4,50 +4,53 @@
 use crate::ids::Millis;
 use crate::settings::{DeduplicationScope, Idempotency, RequestClass};
 
-/// An attempt to have a request served.
+/// An attempt to have a request served by an endpoint.
 pub(crate) struct Attempt {
     pub endpoint: EndpointIndex,
     pub sent_at: Millis,
-    /// It has ended.
+    /// Whether the attempt has ended.
     pub ended: bool,
-    /// It found the endpoint without load.
+    /// Whether the endpoint had no load when the attempt was sent.
     pub unloaded: bool,
-    /// It got no response for so long that it counts as failed, though it is still in flight.
+    /// Whether the attempt has had no response for too long and counts as failed, although it has not ended.
     pub unanswered: bool,
-    /// It is running or may have run.
+    /// Whether the endpoint is processing the request or may have processed it.
     pub may_have_run: bool,
 }
 
 impl Attempt {
-    /// Whether it takes a slot of its endpoint.
+    /// Whether the attempt occupies a slot of its endpoint.
     pub fn is_in_flight(&self) -> bool {
         !self.ended && !self.unanswered
     }
 }
 
-/// Where and until when a request with an idempotency key that may have run can be sent again.
+/// Where and until when a request can be repeated that has an idempotency key and may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct RepeatWindow {
-    /// The endpoint that was tried first.
+    /// The endpoint of the first attempt that may have run.
     pub first: EndpointIndex,
-    /// Which endpoints drop a repeat.
+    /// The endpoints that recognize a repeat and drop it.
     pub scope: DeduplicationScope,
-    /// Until when they do.
+    /// The time until which a repeat is dropped.
     pub until: Millis,
 }
 
-/// What is known of a request when it arrives.
+/// The properties of a request that are determined when it arrives.
 pub(crate) struct RequestSpec {
+    /// The index of the request class.
     pub class: usize,
-    /// Its expected cost relative to its class.
+    /// Expected cost relative to the mean of the request class.
     pub relative_cost: f64,
+    /// Whether the request is beyond its tenant's quota.
     pub over_quota: bool,
-    /// Until when a response earns the full weight.
+    /// The time until which a response earns the full priority weight.
     pub objective_at: Millis,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub deadline: Millis,
-    /// Whether that is earlier than the client announced.
+    /// Whether `deadline` is earlier than the client announced.
     pub is_shortened: bool,
+    /// The affinity key; 0 for a request without one.
     pub key: u64,
     /// The endpoint that its key has its affinity with.
     pub affinity_endpoint: Option<EndpointIndex>,
@@ -58,17 +61,17 @@
 pub(crate) struct Request {
     pub spec: RequestSpec,
     pub attempts: Vec<Attempt>,
-    /// It waits to be sent.
+    /// Whether the request waits to be sent.
     pub waiting: bool,
-    /// It has its final answer, or none is owed any more.
+    /// Whether the request has its final response or no longer needs one.
     pub done: bool,
-    /// A streamed response has started.
+    /// Whether a streamed response has started.
     pub response_started: bool,
-    /// Its body is still received while it is forwarded.
+    /// Whether the body is still being received while it is forwarded.
     pub uploading: bool,
-    /// When its body started to be forwarded.
+    /// The time at which forwarding of the body started.
     pub upload_started_at: Millis,
-    /// Its body can't be sent again.
+    /// Whether the body can't be sent again.
     pub not_replayable: bool,
 }
 
@@ -96,43 +99,43 @@
         self.attempts.iter().any(|attempt| attempt.may_have_run)
     }
 
-    /// Whether an attempt went to that endpoint.
+    /// Whether an attempt was sent to this endpoint.
     pub fn has_tried(&self, endpoint: EndpointIndex) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == endpoint)
     }
 
-    /// For a request with an idempotency key that may have run: where and until when it can be sent again.
+    /// Where and until when the request can be repeated, if it has an idempotency key and may have run.
     pub fn repeat_window(&self, class: &RequestClass) -> Option<RepeatWindow> {
         let Idempotency::WithKey { scope, window } = class.idempotency else { return None };
-        let first = self.attempts.iter().find(|attempt| attempt.may_have_run)?;
-        Some(RepeatWindow { first: first.endpoint, scope, until: first.sent_at + window })
+        let first_attempt = self.attempts.iter().find(|attempt| attempt.may_have_run)?;
+        Some(RepeatWindow { first: first_attempt.endpoint, scope, until: first_attempt.sent_at + window })
     }
 
-    /// Whether a further attempt is allowed, by the request's idempotency and the number of attempts.
+    /// Whether a further attempt is allowed by the request's idempotency, its body and the number of attempts.
     pub fn may_retry(&self, class: &RequestClass, now: Millis) -> bool {
-        let is_harmless = class.idempotency == Idempotency::Always || !self.may_have_run();
+        let is_safe = class.idempotency == Idempotency::Always || !self.may_have_run();
         let is_deduplicated = || self.repeat_window(class).is_some_and(|window| now < window.until);
-        !self.not_replayable
-            && (is_harmless || is_deduplicated())
-            && self.attempts.len() < self.spec.max_attempts
+        !self.not_replayable && (is_safe || is_deduplicated()) && self.attempts.len() < self.spec.max_attempts
     }
 
-    /// Whether a client may be told that a retry does no harm.
+    /// Whether the request may be rejected with a response that tells the client to retry: a retry has to be safe.
     pub fn may_be_rejected(&self, class: &RequestClass) -> bool {
-        let deduplicated_everywhere = matches!(
+        let is_repeatable_anywhere = matches!(
             class.idempotency,
             Idempotency::Always | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
         );
-        deduplicated_everywhere || !self.may_have_run()
+        is_repeatable_anywhere || !self.may_have_run()
     }
 
-    /// Its body started to be forwarded while it is still received; no deadline runs meanwhile.
+    /// Records that forwarding of the body starts while it is still being received. No deadline applies until the
+    /// upload is complete.
     pub fn start_upload(&mut self, now: Millis) {
         self.uploading = true;
         self.upload_started_at = now;
     }
 
-    /// The last byte of its body has been received; its times count from here.
+    /// Records that the last byte of the body has been received. The latency objective and the deadline are extended by
+    /// the duration of the upload.
     pub fn complete_upload(&mut self, now: Millis) {
         let upload_time = now - self.upload_started_at;
         self.spec.objective_at += upload_time;
--- a/crates/core/src/requests/table.rs
+++ b/crates/core/src/requests/table.rs
@@ -1,4 +1,4 @@
-//! All open requests.
+//! The table of open requests.
 
 use std::ops::Index;
 
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(crate) struct RequestTable {
     requests: FxHashMap<RequestId, Request>,
-    /// Those with an attempt that has not ended, in the order of sends.
+    /// Requests with an attempt that has not ended, in the order in which they were sent.
     running: Vec<RequestId>,
 }
 
@@ -34,7 +34,7 @@
         self.requests.values()
     }
 
-    /// Whether more than `max` requests are owed an answer.
+    /// Whether more than `max` requests still need a response.
     pub fn has_more_unanswered_than(&self, max: usize) -> bool {
         self.requests.len() > max && self.requests.values().filter(|request| !request.done).count() > max
     }
@@ -44,24 +44,24 @@
         self.requests.get(&id).is_some_and(|request| request.waiting)
     }
 
-    /// Requests with an attempt that has not ended, in the order of sends.
+    /// Requests with an attempt that has not ended, in the order in which they were sent.
     pub fn running(&self) -> &[RequestId] {
         &self.running
     }
 
-    /// An attempt is sent.
+    /// Adds an attempt that is sent now.
     pub fn start_attempt(&mut self, id: RequestId, attempt: Attempt) {
         let request = self.requests.get_mut(&id).expect("only open requests are sent");
         request.attempts.push(attempt);
         self.running.push(id);
     }
 
-    /// An attempt of a request has ended.
+    /// Removes a request from the running ones, because its attempt has ended.
     pub fn end_attempt(&mut self, id: RequestId) {
         self.running.retain(|running| *running != id);
     }
 
-    /// A request needs no answer any more; it is forgotten once its attempts have ended.
+    /// Marks a request as needing no response any more, and removes it if all its attempts have ended.
     pub fn finish(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.done = true;
@@ -73,8 +73,8 @@
     /// All endpoints that requests refer to.
     pub fn referenced_endpoints(&self) -> impl Iterator<Item = EndpointIndex> {
         self.requests.values().flat_map(|request| {
-            let tried = request.attempts.iter().map(|attempt| attempt.endpoint);
-            tried.chain(request.spec.affinity_endpoint)
+            let attempted = request.attempts.iter().map(|attempt| attempt.endpoint);
+            attempted.chain(request.spec.affinity_endpoint)
         })
     }
 }
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -1,38 +1,39 @@
-//! How much an endpoint may get that has just started.
+//! Slow start: limits the requests sent to an endpoint that has just started.
 
 use crate::ids::Millis;
 use crate::settings::Limits;
 
-/// Requests that a core may hold: a little over one keeps it busy between responses.
+/// Number of requests that a core may hold; slightly more than one keeps it busy between responses.
 pub(crate) const REQUESTS_PER_CORE: f64 = 1.1;
-/// The part of what would overload an endpoint in slow start that all proxies together send it.
+/// The fraction of the overload limit of an endpoint in slow start that all proxies together may send to it.
 const SAFETY_FRACTION: f64 = 0.5;
-/// The part of the budget of an overload window that one request may take.
+/// The fraction of the work that fits into an overload window that a single request may take.
 const MAX_REQUEST_FRACTION: f64 = 0.25;
-/// Sends that may be saved up, as a duration.
+/// The largest number of sends that may be saved up, as the duration in which they are earned.
 const MAX_SAVED: Millis = 300.0;
 
-/// The part of its capacity that an endpoint has for certain: it warms up at least evenly.
+/// The fraction of its capacity that an endpoint has at least. Its capacity is assumed to grow at least linearly from
+/// the initial capacity over the slow-start window.
 pub(crate) fn slow_start_factor(started_at: Option<Millis>, now: Millis, limits: &Limits) -> f64 {
     let progress =
         started_at.map_or(1.0, |started_at| ((now - started_at) / limits.slow_start_window).clamp(0.0, 1.0));
     limits.initial_capacity + (1.0 - limits.initial_capacity) * progress
 }
 
-/// This proxy's share of what an endpoint in slow start can take.
+/// The parameters for this proxy's share of the requests that an endpoint in slow start can take.
 pub(crate) struct SlowStartShare {
-    /// Requests that the endpoint may hold when it is warm.
+    /// Number of requests that the endpoint may hold after slow start.
     pub capacity: f64,
-    /// How long a request occupies a core of it.
+    /// The time for which a request occupies a core of the endpoint.
     pub work_per_request: Millis,
-    /// Proxies that share it.
+    /// Number of proxies that share the endpoint.
     pub proxies: u32,
-    /// The fraction of this proxy's part that this process may use.
+    /// The fraction of this proxy's share that this process may use.
     pub process_fraction: f64,
 }
 
 impl SlowStartShare {
-    /// Sends per millisecond at that slow-start factor.
+    /// The number of sends per millisecond at this slow-start factor.
     fn sends_per_ms(&self, factor: f64, limits: &Limits) -> f64 {
         let throughput = self.capacity / REQUESTS_PER_CORE / self.work_per_request;
         SAFETY_FRACTION * limits.overload_multiple * factor * throughput / f64::from(self.proxies)
@@ -40,13 +41,14 @@
     }
 }
 
-/// The sends that an endpoint in slow start may still get from this proxy.
+/// The number of sends that this proxy may still make to an endpoint in slow start.
 pub(crate) struct SlowStartBudget {
-    /// Whether it has been seen within its slow-start window.
+    /// Whether slow start has been started for a process of the endpoint. It stays true after slow start.
     active: bool,
+    /// Number of sends left; fractions are being saved up.
     sends: f64,
     refilled_at: Millis,
-    /// When the budget last came to cover a send.
+    /// The time since which the budget has covered at least one send.
     covers_send_since: Millis,
 }
 
@@ -55,40 +57,40 @@
         SlowStartBudget { active: false, sends: 0.0, refilled_at: now, covers_send_since: 0.0 }
     }
 
-    /// Whether the endpoint has been seen within its slow-start window.
+    /// Whether slow start has been started for a process of the endpoint. It stays true after slow start.
     pub fn is_active(&self) -> bool {
         self.active
     }
 
-    /// Whether the budget covers a send.
+    /// Whether at least one send is left.
     pub fn covers_send(&self) -> bool {
         self.sends >= 1.0
     }
 
-    /// When the budget was last refilled.
+    /// The time of the last refill.
     pub fn refilled_at(&self) -> Millis {
         self.refilled_at
     }
 
-    /// A new process has been seen. `initial_sends` is random below 1, so that the proxies don't all send their first
-    /// request at once.
+    /// Starts slow start for a new process of the endpoint. `initial_sends` is random below 1, so that the proxies
+    /// don't all send their first request at once.
     pub fn restart(&mut self, now: Millis, initial_sends: f64) {
         self.active = true;
         self.sends = initial_sends;
         self.refilled_at = now;
     }
 
-    /// Takes a send off.
+    /// Takes one send from the budget.
     pub fn spend(&mut self) {
         self.sends -= 1.0;
     }
 
-    /// Another process spends the budget.
+    /// Sets the budget to 0, because another process uses it.
     pub fn empty(&mut self) {
         self.sends = 0.0;
     }
 
-    /// Adds what has become free since the last time, if the endpoint is still warming up.
+    /// Adds the sends that were earned since the last refill, if the endpoint is still in slow start.
     pub fn refill(
         &mut self, now: Millis, factor: f64, started_at: Option<Millis>, share: &SlowStartShare,
         limits: &Limits,
@@ -108,16 +110,16 @@
         self.refilled_at = now;
     }
 
-    /// Whether a send has to be given up: saved up by many proxies, one each would be too much once a burst draws
-    /// them all. Where all that was given since the start could overload the endpoint, none keeps a send for longer
-    /// than the overload window.
+    /// Whether a saved send has to be dropped. If each of many proxies has saved up one send, a burst that uses all of
+    /// them at once would be too much for the endpoint. So once the sends that all proxies have earned since the start
+    /// could overload the endpoint, no proxy keeps a send for longer than the overload window.
     fn is_saved_too_long(
         &self, now: Millis, factor: f64, started_at: Option<Millis>, rate: f64, limits: &Limits,
     ) -> bool {
         let age = started_at.map_or(0.0, |started_at| now - started_at);
-        // It warms up evenly, so the mean of the first and the present capacity counts.
-        let given = SAFETY_FRACTION * age * (limits.initial_capacity + factor) / 2.0;
-        let could_overload = given > factor * limits.overload_window;
+        // The capacity is assumed to grow linearly, so its mean is that of the initial and the present capacity.
+        let earned = SAFETY_FRACTION * age * (limits.initial_capacity + factor) / 2.0;
+        let could_overload = earned > factor * limits.overload_window;
         let is_rare = rate * limits.overload_window < 1.0;
         could_overload && is_rare && now - self.covers_send_since > limits.overload_window
     }
