--- a/crates/core/src/balancer/selection.rs
+++ b/crates/core/src/balancer/selection.rs
@@ -141,7 +141,7 @@
             affinity_endpoint: request
                 .spec
                 .affinity_endpoint
-                .filter(|&endpoint| !request.has_tried(endpoint)),
+                .filter(|&endpoint| !request.has_attempted(endpoint)),
             allows_probation: is_idempotent(class) || !self.has_idempotent_class,
             is_urgent: request.spec.objective_at - self.now < urgency_lead,
         }
@@ -196,7 +196,7 @@
             entry.slow_start_factor,
             &self.settings.limits,
         );
-        !request.has_tried(endpoint) && !is_ejected && !is_too_heavy
+        !request.has_attempted(endpoint) && !is_ejected && !is_too_heavy
     }
 
     /// The own slots of a speed tier that a request can wait for: all but those on endpoints to which an earlier
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -100,7 +100,7 @@
     }
 
     /// Whether an attempt was sent to this endpoint.
-    pub fn has_tried(&self, endpoint: EndpointIndex) -> bool {
+    pub fn has_attempted(&self, endpoint: EndpointIndex) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == endpoint)
     }
 
