--- a/crates/core/src/balancer/selection.rs
+++ b/crates/core/src/balancer/selection.rs
@@ -120,7 +120,7 @@
         if self.now >= window.until {
             return None;
         }
-        let first_endpoint = &self.endpoints[window.first];
+        let first_endpoint = &self.endpoints[window.first_endpoint];
         let is_suitable = |endpoint: &EndpointIndex| {
             let entry = &self.endpoints[*endpoint];
             entry.deduplicates(first_endpoint, window.scope)
--- a/crates/core/src/balancer/send_guard.rs
+++ b/crates/core/src/balancer/send_guard.rs
@@ -35,7 +35,7 @@
         let class = &self.settings.classes[request.spec.class];
         match request.repeat_window(class) {
             Some(window) => {
-                let first_endpoint = &self.endpoints[window.first];
+                let first_endpoint = &self.endpoints[window.first_endpoint];
                 now < window.until && self.endpoints[endpoint].deduplicates(first_endpoint, window.scope)
             }
             None => is_idempotent(class) || !request.may_have_run(),
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct RepeatWindow {
     /// The endpoint of the first attempt that may have run.
-    pub first: EndpointIndex,
+    pub first_endpoint: EndpointIndex,
     /// The endpoints that recognize a repeat and drop it.
     pub scope: DeduplicationScope,
     /// The time until which a repeat is dropped.
@@ -108,7 +108,11 @@
     pub fn repeat_window(&self, class: &RequestClass) -> Option<RepeatWindow> {
         let Idempotency::WithKey { scope, window } = class.idempotency else { return None };
         let first_attempt = self.attempts.iter().find(|attempt| attempt.may_have_run)?;
-        Some(RepeatWindow { first: first_attempt.endpoint, scope, until: first_attempt.sent_at + window })
+        Some(RepeatWindow {
+            first_endpoint: first_attempt.endpoint,
+            scope,
+            until: first_attempt.sent_at + window,
+        })
     }
 
     /// Whether a further attempt is allowed by the request's idempotency, its body and the number of attempts.
