--- a/crates/core/src/balancer/attempts.rs
+++ b/crates/core/src/balancer/attempts.rs
@@ -65,10 +65,10 @@
             Attempt { endpoint, sent_at: now, ended: false, unloaded, unanswered: false, may_have_run: true };
         self.requests.start_attempt(id, attempt);
         let entry = &mut self.endpoints[endpoint];
-        if entry.load.own == 0 {
+        if entry.load.this_proxy == 0 {
             entry.outlier.record_first_send(now);
         }
-        entry.load.own += u32::from(takes_slot);
+        entry.load.this_proxy += u32::from(takes_slot);
         entry.slow_start.spend();
         out.push(Action::Send { request: id, endpoint: entry.listed.id, timeout, start_by });
         self.update_eligibility(endpoint, now);
@@ -125,7 +125,7 @@
             let occupied_until = now + ABANDONED_OCCUPANCY_FACTOR * self.latency.of_class(attempt.class);
             self.abandoned.add(attempt.endpoint, occupied_until);
         } else {
-            self.endpoints[attempt.endpoint].load.own -= 1;
+            self.endpoints[attempt.endpoint].load.this_proxy -= 1;
         }
     }
 
@@ -230,7 +230,7 @@
         if hangs {
             entry.outlier.eject_hanging(now, HANG_FACTOR * expected);
         }
-        entry.load.own -= 1; // frees the slot for requests of other classes
+        entry.load.this_proxy -= 1; // frees the slot for requests of other classes
         let request = self.requests.get_mut(id).expect("the request is open");
         request.attempts[position].unanswered = true;
         self.update_eligibility(endpoint, now);
@@ -266,7 +266,7 @@
             in_flight.push(attempt.endpoint);
         }
         for endpoint in in_flight {
-            let own = &mut self.endpoints[endpoint].load.own;
+            let own = &mut self.endpoints[endpoint].load.this_proxy;
             match stage {
                 UploadStage::Started => *own -= 1,
                 UploadStage::Complete => *own += 1,
--- a/crates/core/src/balancer/endpoint_updates.rs
+++ b/crates/core/src/balancer/endpoint_updates.rs
@@ -129,11 +129,11 @@
     fn eligibility(&self, endpoint: EndpointIndex, is_usable: bool, concurrency: f64) -> Eligibility {
         let entry = &self.endpoints[endpoint];
         let may_send = is_usable
-            && (!entry.outlier.is_on_probation() || entry.load.own == 0)
+            && (!entry.outlier.is_on_probation() || entry.load.this_proxy == 0)
             && (!entry.is_warming_up() || entry.slow_start.covers_send());
         let own_slots = entry.slots.own_slots;
         let min_slots = if self.settings.key_affinity { 1.0 } else { 0.0 };
-        let has_own_slot = may_send && f64::from(entry.load.own) < own_slots.max(min_slots);
+        let has_own_slot = may_send && f64::from(entry.load.this_proxy) < own_slots.max(min_slots);
         if !self.settings.gossip_enabled {
             // The load of the other proxies is unknown, so this proxy uses only its own slots.
             return Eligibility { available: has_own_slot, open_tier: has_own_slot.then_some(entry.tier) };
--- a/crates/core/src/balancer/housekeeping.rs
+++ b/crates/core/src/balancer/housekeeping.rs
@@ -30,7 +30,7 @@
         self.arrivals.update(now);
         self.quotas.refill(TICK, &self.settings);
         while let Some(endpoint) = self.abandoned.pop_ended(now) {
-            self.endpoints[endpoint].load.own -= 1;
+            self.endpoints[endpoint].load.this_proxy -= 1;
             self.update_eligibility(endpoint, now);
         }
         self.expire_reports(now);
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub(crate) struct Load {
     /// Attempts of this proxy, including abandoned ones that may still be running.
-    pub own: u32,
+    pub this_proxy: u32,
     /// Attempts of other proxies in the endpoint's zone, as reported by gossip.
     pub peers_same_zone: u32,
     /// Attempts of proxies in other zones, as reported by gossip.
@@ -25,7 +25,7 @@
 impl Load {
     /// All attempts in flight that this proxy knows of.
     pub fn total(&self) -> u32 {
-        self.own + self.peers_same_zone + self.peers_other_zones
+        self.this_proxy + self.peers_same_zone + self.peers_other_zones
     }
 }
 
@@ -167,7 +167,7 @@
     /// zones are not counted, since they take none of the endpoint's time.
     pub fn expected_concurrency(&self, zone: Option<ZoneId>) -> f64 {
         let own_fraction = if self.crosses_zones_from(zone) { self.processing_fraction } else { 1.0 };
-        f64::from(self.load.own) * own_fraction + self.reported_concurrency()
+        f64::from(self.load.this_proxy) * own_fraction + self.reported_concurrency()
     }
 
     /// The expected number of attempts of other proxies at the endpoint itself, according to their reports.
--- a/crates/core/src/endpoints/table.rs
+++ b/crates/core/src/endpoints/table.rs
@@ -147,8 +147,9 @@
     /// Endpoints whose records can be reused: they were removed, have neither attempts nor waiting requests, and are
     /// not in `referred_to`. Without reuse the table would grow, since endpoints come and go while the process runs.
     pub fn reclaimable(&self, referred_to: impl Iterator<Item = EndpointIndex>) -> Vec<EndpointIndex> {
-        let is_unused =
-            |entry: &EndpointEntry| !entry.is_listed() && entry.load.own == 0 && entry.affinity.pending == 0;
+        let is_unused = |entry: &EndpointEntry| {
+            !entry.is_listed() && entry.load.this_proxy == 0 && entry.affinity.pending == 0
+        };
         let mut reclaimable: Vec<bool> = self.entries.iter().map(is_unused).collect();
         for endpoint in self.vacant.iter().copied().chain(referred_to) {
             reclaimable[endpoint.as_usize()] = false;
--- a/crates/core/src/gossip/message.rs
+++ b/crates/core/src/gossip/message.rs
@@ -102,10 +102,10 @@
     let names_left = |bytes: &[u8]| ((MAX_LEN - bytes.len()) / NAME_LEN) as u32;
     let named: Vec<Named> = endpoints
         .iter_indexed()
-        .filter(|(_, entry)| entry.load.own > 0)
+        .filter(|(_, entry)| entry.load.this_proxy > 0)
         .filter_map(|(endpoint, entry)| {
             let name = entry.gossip_name?.to_le_bytes();
-            Some(Named { endpoint, name, in_flight: entry.load.own })
+            Some(Named { endpoint, name, in_flight: entry.load.this_proxy })
         })
         .collect();
     let all_fit = named.iter().map(|named| named.in_flight).sum::<u32>() <= names_left(bytes);
