--- a/crates/core/src/balancer/attempts.rs
+++ b/crates/core/src/balancer/attempts.rs
@@ -122,7 +122,7 @@
             return;
         }
         if matches!(outcome, Outcome::TimedOut | Outcome::Cancelled) {
-            let occupied_until = now + ABANDONED_OCCUPANCY_FACTOR * self.latency.of_class(attempt.class);
+            let occupied_until = now + ABANDONED_OCCUPANCY_FACTOR * self.latency.class_mean(attempt.class);
             self.abandoned.add(attempt.endpoint, occupied_until);
         } else {
             self.endpoints[attempt.endpoint].load.this_proxy -= 1;
@@ -166,7 +166,7 @@
     fn min_conclusive_timeout(&self, attempt: &EndedAttempt) -> Millis {
         let entry = &self.endpoints[attempt.endpoint];
         CONCLUSIVE_TIMEOUT_FACTOR
-            * self.latency.of_class(attempt.class)
+            * self.latency.class_mean(attempt.class)
             * attempt.relative_cost
             * entry.relative_latency.value
             / entry.slow_start_factor
--- a/crates/core/src/estimators/latency.rs
+++ b/crates/core/src/estimators/latency.rs
@@ -107,7 +107,7 @@
     }
 
     /// Mean latency of a request class.
-    pub fn of_class(&self, class: usize) -> Millis {
+    pub fn class_mean(&self, class: usize) -> Millis {
         self.by_class[class].value
     }
 
--- a/crates/core/src/requests/priority.rs
+++ b/crates/core/src/requests/priority.rs
@@ -60,6 +60,6 @@
 
     /// The expected latency of a request, as a measure of the work that it takes.
     fn work(&self, request: &Request) -> Millis {
-        self.latency.of_class(request.spec.class).max(MIN_CLASS_LATENCY) * request.spec.relative_cost
+        self.latency.class_mean(request.spec.class).max(MIN_CLASS_LATENCY) * request.spec.relative_cost
     }
 }
