--- a/crates/core/src/balancer/selection.rs
+++ b/crates/core/src/balancer/selection.rs
@@ -189,8 +189,8 @@
     pub fn is_eligible(&self, endpoint: EndpointIndex, request: &Request) -> bool {
         let entry = &self.endpoints[endpoint];
         let class = request.spec.class;
-        let is_ejected = entry.outlier.is_ejected_for_class(class, self.now)
-            && self.outliers.believes_class_ejections(class);
+        let is_ejected =
+            entry.outlier.is_ejected_for_class(class, self.now) && self.outliers.class_ejections_apply(class);
         let is_too_heavy = entry.slow_start.is_too_heavy(
             self.expected_latency(request),
             entry.slow_start_factor,
--- a/crates/core/src/outlier_detector.rs
+++ b/crates/core/src/outlier_detector.rs
@@ -56,7 +56,7 @@
     }
 
     /// Whether ejections for this request class apply; they are ignored if nearly all endpoints are ejected for it.
-    pub fn believes_class_ejections(&self, class: usize) -> bool {
+    pub fn class_ejections_apply(&self, class: usize) -> bool {
         self.ejected_fraction_by_class[class] <= PANIC_THRESHOLD
     }
 
