--- a/crates/core/src/balancer/endpoint_updates.rs
+++ b/crates/core/src/balancer/endpoint_updates.rs
@@ -91,7 +91,7 @@
         let sharing = self.sharing();
         let entry = &self.endpoints[endpoint];
         let cores = sharing.cores(entry);
-        let slots = sharing.allot(entry, cores, shares_all_endpoints);
+        let slots = sharing.allocate_slots(entry, cores, shares_all_endpoints);
         let entry = &mut self.endpoints[endpoint];
         entry.slots = slots;
         let capacity = entry.listed.weight * entry.slow_start_factor;
--- a/crates/core/src/limits/capacity_sharing.rs
+++ b/crates/core/src/limits/capacity_sharing.rs
@@ -104,7 +104,9 @@
     }
 
     /// The slots of an endpoint, and how many of them are this proxy's own.
-    pub fn allot(&self, entry: &EndpointEntry, cores: f64, shares_all_endpoints: bool) -> SlotAllocation {
+    pub fn allocate_slots(
+        &self, entry: &EndpointEntry, cores: f64, shares_all_endpoints: bool,
+    ) -> SlotAllocation {
         let class = self.latency.machine_class(entry.machine_class);
         let slots = (REQUESTS_PER_CORE * class.concurrency_factor() * cores).max(1.0);
         let own_slots = if shares_all_endpoints {
