--- a/crates/core/src/balancer/endpoint_updates.rs
+++ b/crates/core/src/balancer/endpoint_updates.rs
@@ -123,7 +123,7 @@
         let affinity = &mut self.endpoints[endpoint].affinity;
         affinity.available = eligibility.available;
         affinity.admission_probability = admission_probability;
-        self.tiers.file(&mut self.endpoints, endpoint, slot_tier, slots, eligibility.open_tier);
+        self.tiers.place(&mut self.endpoints, endpoint, slot_tier, slots, eligibility.open_tier);
     }
 
     fn eligibility(&self, endpoint: EndpointIndex, is_usable: bool, concurrency: f64) -> Eligibility {
--- a/crates/core/src/endpoints/speed_tiers.rs
+++ b/crates/core/src/endpoints/speed_tiers.rs
@@ -95,7 +95,7 @@
 
     /// Updates the place of an endpoint: this proxy's slots on it count in `slot_tier`, and it is listed as open in
     /// `open_tier`, if any.
-    pub fn file(
+    pub fn place(
         &mut self, endpoints: &mut EndpointTable, endpoint: EndpointIndex, slot_tier: TierIndex, slots: f64,
         open_tier: Option<TierIndex>,
     ) {
