--- a/crates/core/src/balancer/takeover.rs
+++ b/crates/core/src/balancer/takeover.rs
@@ -27,7 +27,7 @@
             }
         }
         for entry in self.endpoints.iter_mut() {
-            entry.slow_start.empty();
+            entry.slow_start.clear();
         }
         self.latency.restore(learned.classes, learned.machine_classes);
     }
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -86,7 +86,7 @@
     }
 
     /// Sets the budget to 0, because another process uses it.
-    pub fn empty(&mut self) {
+    pub fn clear(&mut self) {
         self.sends = 0.0;
     }
 
