--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: one request on one connection, from taking the connection to giving it back.
+//! Runs one attempt: gets a connection, sends one request on it, and returns the connection to the pool.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -24,16 +24,16 @@
 use super::response::UpstreamResponse;
 use crate::body_stream::BodyStream;
 
-/// The times that bound an attempt.
+/// The time limits of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptLimits {
-    /// Until when its response is waited for.
+    /// When the wait for the response ends.
     pub deadline: Instant,
-    /// Until when it may start, if it repeats one that may have run.
+    /// When the attempt may no longer start; set if an earlier attempt of the request may have run.
     pub start_by: Option<Instant>,
 }
 
-/// What an attempt sends, where to, and until when.
+/// An attempt: its request, its endpoint and its time limits.
 struct Attempt<'a> {
     pool: &'a UpstreamPool,
     endpoint: Rc<UpstreamEndpoint>,
@@ -42,22 +42,22 @@
     limits: AttemptLimits,
 }
 
-/// A connection to which a request was handed, and what came of it.
+/// A connection to which a request was handed, with the result of the exchange.
 struct SentRequest {
     connection: Connection,
     result: Result<Exchange, SendError>,
 }
 
-/// Why a request was handed to no connection.
+/// Why a request was not handed to any connection.
 enum NotSent {
-    /// The backend did not accept a connection in time.
+    /// No connection to the backend was established in time.
     NoConnection,
-    /// The attempt was given up on this side: the endpoint is closed, the request needs no attempt any more, or this
-    /// machine can't open a connection. It says nothing of the backend.
+    /// The proxy gave up the attempt: the endpoint is closed, the request no longer needs an attempt, or this machine
+    /// can't open a connection. This does not count against the backend.
     Withdrawn,
 }
 
-/// Why a request that was handed to a connection has no response.
+/// Why a request that was handed to a connection got no response.
 #[derive(Debug, thiserror::Error)]
 enum SendError {
     #[error(transparent)]
@@ -67,7 +67,8 @@
 }
 
 impl UpstreamPool {
-    /// Makes one attempt. Calls `report` with how it ended, exactly once and before the connection is pooled.
+    /// Runs one attempt. Calls `report` exactly once, with the outcome and the response for the client if there is one,
+    /// before the connection returns to the pool.
     pub async fn attempt(
         &self, endpoint: Rc<UpstreamEndpoint>, state: Rc<Cell<RequestState>>, request: Rc<UpstreamRequest>,
         limits: AttemptLimits, report: impl FnOnce(Outcome, Option<UpstreamResponse>),
@@ -86,37 +87,38 @@
         match sent.result {
             Ok(exchange) => {
                 let outcome = exchange.outcome;
-                let reusable = self.deliver(exchange, report).await;
+                let reusable = self.deliver_response(exchange, report).await;
                 self.pool.release(sent.connection, &self.endpoint, outcome, reusable).await;
             }
-            // The connection is dropped, never used again.
-            Err(error) => report(self.outcome_of(error, &sent.connection.progress), None),
+            // Dropping the connection closes it: it can't be reused after an error.
+            Err(error) => report(self.failure_outcome(error, &sent.connection.progress), None),
         }
     }
 
-    /// Sends the request on an idle connection or a new one. An idle one that turns out to be of no use before
-    /// anything was written to it is replaced by another.
+    /// Sends the request on an idle connection or a new one. If an idle connection fails before anything was written
+    /// to it, the request is sent on another connection.
     async fn send(&self) -> Result<SentRequest, NotSent> {
         loop {
             let mut connection = self.connect().await?;
-            let request = self.start_on(&connection).ok_or(NotSent::Withdrawn)?;
-            let result = self.exchange_in_time(&mut connection, request).await;
-            let unused = matches!(result, Err(SendError::Exchange(_))) && connection.progress.is_untouched();
-            if connection.is_new || !unused || !self.request.is_replayable() {
+            let request = self.prepare_request(&connection).ok_or(NotSent::Withdrawn)?;
+            let result = self.exchange_with_timeout(&mut connection, request).await;
+            let failed_before_write = matches!(result, Err(SendError::Exchange(_)))
+                && connection.progress.is_unwritten_without_denial();
+            if connection.is_new || !failed_before_write || !self.request.is_replayable() {
                 return Ok(SentRequest { connection, result });
             }
         }
     }
 
-    /// Takes a connection while that is of use.
+    /// Gets a connection to the endpoint, unless `connect_deadline` passes first.
     async fn connect(&self) -> Result<Connection, NotSent> {
-        match timeout_at(self.connect_by(), self.pool.connect(&self.endpoint)).await {
+        match timeout_at(self.connect_deadline(), self.pool.connect(&self.endpoint)).await {
             Ok(Ok(connection)) => Ok(connection),
-            Err(_) if self.is_too_late_to_start() => Err(NotSent::Withdrawn),
+            Err(_) if self.is_past_start_limit() => Err(NotSent::Withdrawn),
             Ok(Err(ConnectError::Local(error))) => {
                 let backend = self.endpoint.address;
                 warn!(%backend, %error, "upstream connect failed on a local error");
-                self.pool.evict_idle(); // it may free what is lacking
+                self.pool.evict_idle(); // may free the descriptor, port or memory that was lacking
                 Err(NotSent::Withdrawn)
             }
             Ok(Err(ConnectError::NoSocket)) => Err(NotSent::Withdrawn),
@@ -126,19 +128,19 @@
         }
     }
 
-    /// Until when a connection is of use.
-    fn connect_by(&self) -> Instant {
+    /// When the wait for a connection ends: at the deadline, or when the attempt may no longer start.
+    fn connect_deadline(&self) -> Instant {
         self.limits.start_by.map_or(self.limits.deadline, |start_by| start_by.min(self.limits.deadline))
     }
 
-    fn is_too_late_to_start(&self) -> bool {
+    fn is_past_start_limit(&self) -> bool {
         self.limits.start_by.is_some_and(|start_by| Instant::now() >= start_by)
     }
 
-    /// Prepares the request for a connection; `None` if it is not to be sent any more.
-    fn start_on(&self, connection: &Connection) -> Option<Request<MessageBody>> {
+    /// Prepares the request for a connection. Returns `None` if the request must not be sent any more.
+    fn prepare_request(&self, connection: &Connection) -> Option<Request<MessageBody>> {
         let is_pending = self.endpoint.is_open() && self.state.get() == RequestState::Pending;
-        if !is_pending || self.is_too_late_to_start() {
+        if !is_pending || self.is_past_start_limit() {
             return None;
         }
         let prepared_at = Instant::now();
@@ -158,24 +160,24 @@
         Some(request)
     }
 
-    /// Runs the exchange until its response stalls or times out. The time for the response to a streamed request starts
-    /// with the last byte of its body.
-    async fn exchange_in_time(
+    /// Runs the exchange, and stops it if the response stalls or times out. For a streamed request, the response
+    /// timeout starts at the last byte of the body.
+    async fn exchange_with_timeout(
         &self, connection: &mut Connection, request: Request<MessageBody>,
     ) -> Result<Exchange, SendError> {
         let progress = connection.progress.clone();
-        let any_status_serves = self.pool.any_status_serves;
+        let is_plain_http = self.pool.is_plain_http;
         let exchange = async {
             tokio::select! {
                 biased;
-                exchange = exchange(&mut connection.sender, request, &progress, any_status_serves) => exchange,
+                exchange = exchange(&mut connection.sender, request, &progress, is_plain_http) => exchange,
                 () = progress.response.stalled() => Err(ExchangeError::Stalled),
             }
         };
         match &self.request.body {
             RequestBody::Buffered { .. } => {
-                let in_time = timeout_at(self.limits.deadline, exchange).await;
-                Ok(in_time.map_err(|_| SendError::TimedOut)??)
+                let result = timeout_at(self.limits.deadline, exchange).await;
+                Ok(result.map_err(|_| SendError::TimedOut)??)
             }
             RequestBody::Streamed(_) => tokio::select! {
                 biased;
@@ -185,9 +187,9 @@
         }
     }
 
-    /// Reports an exchange, and streams the rest of its response. Returns whether the connection can be reused after
-    /// that.
-    async fn deliver(
+    /// Reports the outcome of an exchange and streams the rest of its response. Returns whether the connection can be
+    /// reused afterwards.
+    async fn deliver_response(
         &self, exchange: Exchange, report: impl FnOnce(Outcome, Option<UpstreamResponse>),
     ) -> bool {
         let Exchange { outcome, response, reusable } = exchange;
@@ -201,12 +203,12 @@
                 report(outcome, Some(UpstreamResponse { started_at, status, headers, body }));
                 reusable
             }
-            // The rest of an error that is too long to buffer is not waited for.
+            // The proxy does not wait for the rest of an error response that is too long to buffer.
             ResponseBody::Partial { .. } if outcome != Outcome::Served => {
                 report(outcome, None);
                 false
             }
-            // The outcome is settled; from here on the client sets the pace.
+            // The outcome is final. How long the rest of the response takes depends on how fast the client reads.
             ResponseBody::Partial { read, rest } => {
                 let length = rest.size_hint().exact().map(|rest| read.len() as u64 + rest);
                 let (sender, stream) = BodyStream::new(length);
@@ -216,13 +218,13 @@
                     return false;
                 }
                 let relayed = relay(read, rest, sender, &self.pool.memory.streamed).await;
-                self.is_relayed(relayed)
+                self.relay_succeeded(relayed)
             }
         }
     }
 
-    /// Whether a response was streamed to its end; logs what the backend did otherwise.
-    fn is_relayed(&self, relayed: Result<(), RelayError>) -> bool {
+    /// Returns whether a response was streamed to its end, and logs a failure of the backend.
+    fn relay_succeeded(&self, relayed: Result<(), RelayError>) -> bool {
         match relayed {
             Ok(()) => true,
             Err(RelayError::ClientDisconnected) => false,
@@ -233,9 +235,9 @@
         }
     }
 
-    /// The outcome of an attempt without a response. Whatever fails before the request's last byte is written proves
-    /// that it never ran.
-    fn outcome_of(&self, error: SendError, progress: &RequestProgress) -> Outcome {
+    /// The outcome of an attempt without a response. A request can't have run if the attempt failed before the last
+    /// byte of the request was written.
+    fn failure_outcome(&self, error: SendError, progress: &RequestProgress) -> Outcome {
         match error {
             SendError::Exchange(_) if progress.was_withdrawn() => Outcome::Withdrawn,
             _ if !progress.is_complete() => Outcome::ConnectFailed,
--- a/crates/proxy/src/upstream/attempt_request.rs
+++ b/crates/proxy/src/upstream/attempt_request.rs
@@ -1,4 +1,4 @@
-//! Prepares a request for one attempt: its headers, its body and the time that the backend is sent.
+//! Prepares a request for one attempt: its headers, its body and the timeout header for the backend.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,28 +14,30 @@
 use super::request_progress::RequestProgress;
 use crate::body_stream::BodyStream;
 
-/// Tells the backend for how many seconds this proxy will wait.
+/// Header that tells the backend how many seconds this proxy waits for the response.
 const TIMEOUT_HEADER: &str = "x-timeout";
 
-/// A request for one attempt.
+/// A request prepared for one attempt.
 pub(super) struct AttemptRequest {
     pub(super) request: Request<MessageBody>,
-    /// Bytes of its body, or `UNKNOWN_LENGTH`.
+    /// Length of the body in bytes, or `UNKNOWN_LENGTH`.
     pub(super) body_length: usize,
-    /// For how long the response is waited for, unless that time starts only with the body's last byte.
+    /// How long the proxy waits for the response; `None` for a streamed body, whose timeout starts at its last byte.
     pub(super) timeout: Option<Duration>,
 }
 
-/// A body for one attempt.
+/// A body prepared for one attempt.
 struct AttemptBody {
     body: MessageBody,
+    /// Length of the body in bytes, or `UNKNOWN_LENGTH`.
     length: usize,
-    /// For how long the response is waited for.
+    /// How long the proxy waits for the response.
     response_timeout: Duration,
 }
 
 impl AttemptRequest {
-    /// Prepares a request whose response is waited for until `deadline`; `None` if its body can't be sent again.
+    /// Prepares a request whose response must arrive by `deadline`. Returns `None` if an earlier attempt has taken the
+    /// streamed body.
     pub(super) fn new(
         upstream_request: &UpstreamRequest, deadline: Instant, progress: &Rc<RequestProgress>,
     ) -> Option<Self> {
@@ -71,7 +73,7 @@
     }
 }
 
-/// Takes the stream for an attempt, whose progress is notified how the stream ends.
+/// Takes the stream of a body for an attempt, and records in `progress` whether the stream ends complete.
 fn take_stream(
     upload: &Upload, progress: &Rc<RequestProgress>, response_timeout: Duration,
 ) -> Option<BodyStream> {
@@ -81,10 +83,10 @@
     (upload.on_start)(response_timeout);
     stream.on_end(Box::new(move |complete| {
         if complete {
-            progress.body_taken(Instant::now() + response_timeout);
+            progress.record_body_read(Instant::now() + response_timeout);
             on_complete();
         } else {
-            progress.body_failed();
+            progress.record_body_incomplete();
         }
     }));
     Some(stream)
--- a/crates/proxy/src/upstream/availability.rs
+++ b/crates/proxy/src/upstream/availability.rs
@@ -1,13 +1,13 @@
-//! Whether an endpoint accepts new requests.
+//! Tracks whether an endpoint accepts new requests.
 
 use std::cell::Cell;
 
-/// Whether an endpoint accepts new requests, by discovery and by the operators.
+/// Whether an endpoint accepts new requests, according to discovery and the operators.
 #[derive(Default)]
 pub(super) struct Availability {
-    /// Draining, removed or replaced.
+    /// The endpoint is draining, removed or replaced.
     closed: Cell<bool>,
-    /// Taken out of service by an operator.
+    /// An operator has put the endpoint into maintenance.
     in_maintenance: Cell<bool>,
 }
 
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a backend.
+//! A connection to a backend, and its socket, which records all traffic.
 
 use std::cell::Cell;
 use std::io;
@@ -19,48 +19,48 @@
 
 /// A connection to a backend; dropping it closes the socket.
 pub(super) struct Connection {
-    /// Hands requests to hyper's task.
+    /// Passes requests to hyper's connection task.
     pub(super) sender: SendRequest<MessageBody>,
-    /// How far the current request and its response have come.
+    /// Progress of the current request and its response.
     pub(super) progress: Rc<RequestProgress>,
     /// The socket, for checks that bypass hyper.
     pub(super) stream: Rc<TcpStream>,
-    /// The socket's permit from the budget, held for as long as this end keeps it open.
+    /// The socket's permit from the budget, shared with `TrackedSocket`: released when both are dropped.
     pub(super) _permit: Rc<OwnedSemaphorePermit>,
-    /// Hyper's task that reads and writes the socket.
+    /// The task in which hyper reads and writes the socket.
     pub(super) task: JoinHandle<()>,
-    /// No request has been completed on it yet.
+    /// Whether no request has completed on this connection yet.
     pub(super) is_new: bool,
-    /// Why it is closed, once it is dropped.
+    /// The reason to count in the metrics when the connection is dropped.
     pub(super) close_reason: Cell<BackendClose>,
 }
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.progress.connection_closed(self.close_reason.get());
+        self.progress.count_closed_connection(self.close_reason.get());
         self.task.abort();
     }
 }
 
 impl Connection {
-    /// Whether a request may be sent on it: the backend has neither closed it nor sent unsolicited bytes. The runtime
-    /// may not have been notified of that yet, so the socket itself is checked.
+    /// Whether a request may be sent on this connection: the backend has neither closed it nor sent unsolicited bytes.
+    /// The socket itself is checked, because the runtime may not have been notified of such an event yet.
     pub(super) fn is_alive(&self) -> bool {
         peek(&self.stream) == PeekResult::Nothing && self.sender.is_ready()
     }
 }
 
-/// The socket under a connection; every byte is recorded in the request's progress.
-pub(super) struct MeteredSocket {
-    /// The socket, shared with the connection.
+/// The socket of a connection. Every byte written or read is recorded in the request's progress.
+pub(super) struct TrackedSocket {
+    /// The socket, shared with the `Connection`.
     pub(super) stream: Rc<TcpStream>,
-    /// The progress, shared with the connection.
+    /// The progress, shared with the `Connection`.
     pub(super) progress: Rc<RequestProgress>,
-    /// The socket's permit from the budget.
+    /// The socket's permit from the budget, shared with the `Connection`.
     pub(super) _permit: Rc<OwnedSemaphorePermit>,
 }
 
-impl AsyncRead for MeteredSocket {
+impl AsyncRead for TrackedSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(poll_read(&self.stream, cx, buf))?;
@@ -69,12 +69,13 @@
     }
 }
 
-impl AsyncWrite for MeteredSocket {
+impl AsyncWrite for TrackedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         if !self.progress.may_write() {
             return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
         }
-        // Bytes that precede the request can't be its response, and an end of the stream now is not one after it.
+        // Fail before writing if bytes or the end of the stream have arrived: such bytes can't be the response to this
+        // request, and such an end did not follow the request.
         if !self.progress.has_started() && peek(&self.stream) != PeekResult::Nothing {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
--- a/crates/proxy/src/upstream/dial.rs
+++ b/crates/proxy/src/upstream/dial.rs
@@ -14,40 +14,41 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{Instant, sleep};
 
-use super::connection::{Connection, MeteredSocket};
+use super::connection::{Connection, TrackedSocket};
 use super::request_progress::RequestProgress;
 use crate::metrics::Metrics;
 use crate::socket::{is_local_error, is_no_route};
 
-/// An error of this machine is expected to pass within this time.
-const LOCAL_RETRY_TIME: Duration = Duration::from_millis(100);
-/// Wait before each of the first retries after such an error. They are quick, as the time counts as the backend's.
+/// How long to retry after a transient error. Errors of this machine are expected to pass within this time.
+const TRANSIENT_RETRY_TIME: Duration = Duration::from_millis(100);
+/// Delay before each of the first retries; short, because the time spent here counts towards the backend's latency.
 const QUICK_RETRY_DELAY: Duration = Duration::from_millis(1);
-/// How many retries are quick.
+/// Number of retries that use `QUICK_RETRY_DELAY`.
 const QUICK_RETRIES: u32 = 16;
-/// Wait before each of the later ones.
-const RETRY_DELAY: Duration = Duration::from_millis(8);
+/// Delay before each of the later retries.
+const LATER_RETRY_DELAY: Duration = Duration::from_millis(8);
 
-/// Size of a connection's buffers, which bounds a response's head too.
+/// Size of a connection's buffers in bytes; it also bounds the size of a response's head.
 const BUFFER_SIZE: usize = 32 << 10;
 
-/// Why no connection was opened. What this machine lacks does not count against the backend.
+/// Why no connection was opened. A lack of resources on this machine does not count against the backend.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
-    /// This machine lacks a descriptor, a port or a buffer.
+    /// This machine lacks a file descriptor, a port or memory for buffers.
     #[error("local error: {0}")]
     Local(io::Error),
-    /// This machine has no route to the backend. It may have one again in a moment; without it the backend is of no use.
+    /// This machine has no route to the backend. The route may be back in a moment; if not, the attempt counts as a
+    /// connect failure, since the backend can't be reached.
     #[error("no route: {0}")]
     NoRoute(io::Error),
     /// All sockets of the budget are in use.
-    #[error("no socket left")]
+    #[error("all upstream sockets are in use")]
     NoSocket,
-    /// The backend, or the network before it, did not accept the connection.
+    /// The backend or the network refused or broke the connection.
     #[error("remote error: {0}")]
     Remote(io::Error),
-    /// The connection did not come up in time.
-    #[error("timed out")]
+    /// The connection was not established in time.
+    #[error("connect timed out")]
     TimedOut,
 }
 
@@ -64,8 +65,8 @@
 }
 
 impl ConnectError {
-    /// Whether the next try may succeed, as nothing was sent to the backend.
-    fn may_pass(&self) -> bool {
+    /// Whether the error is expected to pass soon. A retry is safe, because nothing was sent to the backend.
+    fn is_transient(&self) -> bool {
         matches!(self, ConnectError::Local(_) | ConnectError::NoRoute(_))
     }
 }
@@ -76,18 +77,18 @@
     }
 }
 
-/// Opens a connection on a socket of the budget. System calls that fail here are made again for a while.
+/// Opens a connection with a permit of the socket budget. Transient errors are retried for `TRANSIENT_RETRY_TIME`.
 pub(super) async fn dial(
     address: SocketAddr, permit: OwnedSemaphorePermit, metrics: Arc<Metrics>,
 ) -> Result<Connection, ConnectError> {
     let permit = Rc::new(permit);
     metrics.upstream_connected();
-    let retry_until = Instant::now() + LOCAL_RETRY_TIME;
+    let retry_until = Instant::now() + TRANSIENT_RETRY_TIME;
     let mut retries = 0;
     loop {
-        let delay = if retries < QUICK_RETRIES { QUICK_RETRY_DELAY } else { RETRY_DELAY };
+        let delay = if retries < QUICK_RETRIES { QUICK_RETRY_DELAY } else { LATER_RETRY_DELAY };
         match dial_once(address, &permit, &metrics).await {
-            Err(error) if error.may_pass() && Instant::now() + delay < retry_until => sleep(delay).await,
+            Err(error) if error.is_transient() && Instant::now() + delay < retry_until => sleep(delay).await,
             result => return result,
         }
         retries += 1;
@@ -101,14 +102,14 @@
     stream.set_nodelay(true)?;
     let progress = Rc::new(RequestProgress::new(metrics.clone()));
     let socket =
-        MeteredSocket { stream: stream.clone(), progress: progress.clone(), _permit: permit.clone() };
+        TrackedSocket { stream: stream.clone(), progress: progress.clone(), _permit: permit.clone() };
     let (sender, connection) = http1::Builder::new()
         .max_buf_size(BUFFER_SIZE)
         .handshake(TokioIo::new(socket))
         .await
         .map_err(io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
-        let _ = connection.await; // the request in flight sees the error
+        let _ = connection.await; // the request in flight receives the error
     });
     Ok(Connection {
         sender,
--- a/crates/proxy/src/upstream/endpoint.rs
+++ b/crates/proxy/src/upstream/endpoint.rs
@@ -1,4 +1,4 @@
-//! The socket side of one endpoint: a process of a backend, with its idle connections.
+//! The socket side of an endpoint (one backend process), with its idle connections.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,34 +11,35 @@
 use super::connection::Connection;
 use crate::close_reason::BackendClose;
 
-/// An idle connection is not reused for this time while there is another: a backend that sends a second response does
-/// so by then.
+/// How long a released connection is not reused if the endpoint has another idle one. A backend that sends a second
+/// response to one request does so within this time.
 const REUSE_DELAY: Duration = Duration::from_millis(20);
 
-/// One process of a backend at one address. A restart or a new address makes a new upstream endpoint.
+/// One backend process at one address. A restarted process or a new address gets a new `UpstreamEndpoint`.
 pub struct UpstreamEndpoint {
-    /// Where it accepts connections.
+    /// The address on which the process accepts connections.
     pub address: SocketAddr,
-    /// When the process started, as discovery says.
+    /// When the process started according to discovery, in Unix milliseconds.
     pub born_ms: f64,
     availability: Rc<Availability>,
-    /// Longest idle first.
+    /// The idle connections, longest idle first.
     idle: RefCell<Vec<IdleConnection>>,
 }
 
-/// A connection without a request.
+/// A connection that carries no request at present.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
-    pub(super) since: Instant,
+    pub(super) idle_since: Instant,
 }
 
 impl UpstreamEndpoint {
-    /// An open endpoint without connections.
+    /// Creates an open endpoint without connections.
     pub fn new(address: SocketAddr, born_ms: f64) -> Rc<Self> {
         Rc::new(UpstreamEndpoint { address, born_ms, availability: Rc::default(), idle: RefCell::default() })
     }
 
-    /// Sets whether new requests may be sent to it, by discovery. Closing it closes its idle connections.
+    /// Sets whether new requests may be sent to the endpoint according to discovery. Closing the endpoint closes its
+    /// idle connections.
     pub fn set_open(&self, open: bool) {
         self.availability.set_closed(!open);
         if !open {
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Takes it out of service whatever discovery says, or puts it back.
+    /// Starts or ends maintenance. While in maintenance, the endpoint is out of service regardless of discovery.
     pub fn set_in_maintenance(&self, in_maintenance: bool) {
         self.availability.set_in_maintenance(in_maintenance);
         if in_maintenance {
@@ -54,33 +55,33 @@
         }
     }
 
-    /// Whether new requests may be sent to it.
+    /// Whether new requests may be sent to the endpoint.
     pub fn is_open(&self) -> bool {
         self.availability.is_open()
     }
 
-    /// Whether new requests may be sent to it, as its requests' guards look it up.
+    /// The shared availability, which the guards of requests to this endpoint read.
     pub(super) fn availability(&self) -> &Rc<Availability> {
         &self.availability
     }
 
-    /// Closes the idle connections to which `unwanted` applies, for this reason.
-    pub(super) fn close_idle_if(&self, reason: BackendClose, unwanted: impl Fn(&IdleConnection) -> bool) {
+    /// Closes the idle connections for which `should_close` returns true, and records `reason` as the cause.
+    pub(super) fn close_idle_if(&self, reason: BackendClose, should_close: impl Fn(&IdleConnection) -> bool) {
         self.idle.borrow_mut().retain(|idle| {
-            let closes = unwanted(idle);
-            if closes {
+            let is_closed = should_close(idle);
+            if is_closed {
                 idle.connection.close_reason.set(reason);
             }
-            !closes
+            !is_closed
         });
     }
 
-    /// Since when its longest idle connection has been idle, if it has any.
+    /// When the longest idle connection became idle; `None` without idle connections.
     pub(super) fn longest_idle_since(&self) -> Option<Instant> {
-        self.idle.borrow().first().map(|idle| idle.since)
+        self.idle.borrow().first().map(|idle| idle.idle_since)
     }
 
-    /// Closes its longest idle connection, as another one needs the socket.
+    /// Closes the longest idle connection, because another connection needs its socket.
     pub(super) fn evict_longest_idle(&self) {
         let mut connections = self.idle.borrow_mut();
         if connections.is_empty() {
@@ -90,34 +91,35 @@
         evicted.connection.close_reason.set(BackendClose::Evicted);
     }
 
-    /// Keeps a connection for a later request.
+    /// Adds a connection to the idle ones, for a later request.
     pub(super) fn put_idle(&self, connection: Connection) {
-        let idle = IdleConnection { connection, since: Instant::now() };
+        let idle = IdleConnection { connection, idle_since: Instant::now() };
         self.idle.borrow_mut().push(idle);
     }
 
-    /// Removes the idle connection to use next.
+    /// Removes and returns the idle connection to use next.
     pub(super) fn take_idle(&self) -> Option<IdleConnection> {
         let mut connections = self.idle.borrow_mut();
-        let chosen = choose_idle(connections.iter().map(|idle| idle.since.elapsed()))?;
-        Some(connections.remove(chosen))
+        let index = choose_idle(connections.iter().map(|idle| idle.idle_since.elapsed()))?;
+        Some(connections.remove(index))
     }
 
-    /// How many idle connections it has.
+    /// The number of idle connections.
     #[cfg(test)]
     pub(super) fn idle_connections(&self) -> usize {
         self.idle.borrow().len()
     }
 }
 
-/// Which idle connection to use next, by how long each has been idle, the longest first.
+/// Returns the index of the idle connection to use next. `idle_times` is how long each has been idle, longest first.
 ///
-/// The one used last is the least likely to have been closed, but a second response may still be on its way there: so
-/// the last one past `REUSE_DELAY`, and if none is, the one that has been idle longest.
+/// The backend is least likely to have closed the most recently used connection, but a second response may still
+/// arrive there. So this chooses the most recently used connection that has been idle for at least `REUSE_DELAY`, or
+/// the longest idle one if there is none.
 pub(super) fn choose_idle(
     idle_times: impl DoubleEndedIterator<Item = Duration> + ExactSizeIterator,
 ) -> Option<usize> {
     let longest_idle = (idle_times.len() > 0).then_some(0);
-    let rested = idle_times.enumerate().rev().find(|(_, idle)| *idle >= REUSE_DELAY);
-    rested.map(|(index, _)| index).or(longest_idle)
+    let past_delay = idle_times.enumerate().rev().find(|(_, idle)| *idle >= REUSE_DELAY);
+    past_delay.map(|(index, _)| index).or(longest_idle)
 }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange on a connection: sends a request and reads its response, as far as that is buffered.
+//! Runs one exchange on a connection: sends a request and reads as much of the response as is buffered.
 
 use std::time::Duration;
 
@@ -18,89 +18,92 @@
 use super::response_progress::STALL_TIMEOUT;
 use crate::body_stream::MAX_BODY_BYTES;
 
-/// Longest response that is buffered. Until it is complete another backend's response may take its place.
+/// Longest response body that is buffered, in bytes. Until the body is complete, the proxy can still replace the
+/// response by another backend's.
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// A response of unknown length is buffered for this long to see whether it is short.
+/// How long a response of unknown length is buffered, in case it turns out to be short.
 const BUFFERING_TIME: Duration = Duration::from_millis(100);
 
-/// How an exchange ended.
+/// The result of an exchange.
 pub(super) struct Exchange {
     pub(super) outcome: Outcome,
-    /// The response, if clients may see it.
+    /// The response, if it may be passed on to the client.
     pub(super) response: Option<BackendResponse>,
-    /// Whether the connection can carry another request.
+    /// Whether the connection can carry another request, after the rest of a partial response body has been read.
     pub(super) reusable: bool,
 }
 
-/// A backend's response, its body as far as it is buffered.
+/// A backend's response, with as much of its body as is buffered.
 pub(super) struct BackendResponse {
-    /// When its first bytes arrived.
+    /// When the first bytes of the response arrived.
     pub(super) started_at: Instant,
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: ResponseBody,
 }
 
-/// A response's body, as far as it has been read.
+/// A response's body, either complete or only partly read.
 pub(super) enum ResponseBody {
     Complete(Bytes),
-    /// Too long or too slow to be buffered.
+    /// A body that is too long or too slow to buffer.
     Partial {
         read: Bytes,
         rest: Incoming,
     },
 }
 
-/// Why an exchange gave no usable response.
+/// Why an exchange produced no usable response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ExchangeError {
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    #[error("response served before the request was complete")]
+    #[error("response with status 200 arrived before the request was complete")]
     ServedIncompleteRequest,
-    #[error("response too long")]
+    #[error("response body too long")]
     TooLong,
     #[error("response stalled")]
     Stalled,
 }
 
-/// Sends a request and reads its response. With `any_status_serves`, any response but a server's error counts as
-/// served, and errors are passed on as the backend worded them.
+/// Sends a request and reads its response. With `is_plain_http`, which means that the platform's protocol is not used,
+/// every status below 500 except 101 counts as served, and error responses are passed on unchanged.
 pub(super) async fn exchange(
     sender: &mut SendRequest<MessageBody>, request: Request<MessageBody>, progress: &RequestProgress,
-    any_status_serves: bool,
+    is_plain_http: bool,
 ) -> Result<Exchange, ExchangeError> {
     let is_head = request.method() == Method::HEAD;
     let response = sender.send_request(request).await?;
     let started_at = progress.response.started_at().unwrap_or_else(Instant::now);
     let (head, body) = response.into_parts();
-    // By the platform's protocol a request starts with its last byte: what is served before that is an earlier one.
-    let early = progress.response.is_early() && !any_status_serves;
-    if early && head.status == StatusCode::OK {
+    // In the platform's protocol a backend runs a request only after its last byte, so a response with status 200
+    // before that byte belongs to an earlier request.
+    let is_early = progress.response.is_early() && !is_plain_http;
+    if is_early && head.status == StatusCode::OK {
         return Err(ExchangeError::ServedIncompleteRequest);
     }
     let body = read_body(body).await?;
-    let complete = matches!(body, ResponseBody::Complete(_));
-    let reusable = complete && !early && head.status != StatusCode::SWITCHING_PROTOCOLS;
-    if is_served(head.status, any_status_serves) {
+    let is_complete = matches!(body, ResponseBody::Complete(_));
+    let reusable = is_complete && !is_early && head.status != StatusCode::SWITCHING_PROTOCOLS;
+    if is_served(head.status, is_plain_http) {
         let response = BackendResponse::new(started_at, head, body, is_head);
         return Ok(Exchange { outcome: Outcome::Served, response: Some(response), reusable: true });
     }
     if is_rejection(head.status, &head.headers) {
         return Ok(Exchange { outcome: Outcome::Rejected, response: None, reusable });
     }
-    let visible = any_status_serves && reusable;
-    let response = visible.then(|| BackendResponse::new(started_at, head, body, is_head));
+    let is_passed_on = is_plain_http && reusable;
+    let response = is_passed_on.then(|| BackendResponse::new(started_at, head, body, is_head));
     Ok(Exchange { outcome: Outcome::Error, response, reusable })
 }
 
-fn is_served(status: StatusCode, any_status_serves: bool) -> bool {
+fn is_served(status: StatusCode, is_plain_http: bool) -> bool {
     let is_server_error = status.as_u16() >= 500;
-    let counts = any_status_serves && !is_server_error && status != StatusCode::SWITCHING_PROTOCOLS;
-    status == StatusCode::OK || counts
+    let is_served_in_plain_http =
+        is_plain_http && !is_server_error && status != StatusCode::SWITCHING_PROTOCOLS;
+    status == StatusCode::OK || is_served_in_plain_http
 }
 
-/// Whether a backend says that it has not processed the request.
+/// Whether the response states that the backend has not processed the request.
 fn is_rejection(status: StatusCode, headers: &HeaderMap) -> bool {
     let mut marks = headers.get_all("x-not-processed").iter();
     let marked = marks.next().is_some_and(|mark| mark.as_bytes().trim_ascii() == b"1");
@@ -111,7 +114,7 @@
 impl BackendResponse {
     fn new(started_at: Instant, head: response::Parts, body: ResponseBody, is_head: bool) -> Self {
         let mut headers = head.headers;
-        // The length in a response to HEAD is that of the body which GET would give.
+        // The content length in a response to HEAD is that of the body that GET would return.
         let length: Option<HeaderValue> = headers.get(header::CONTENT_LENGTH).filter(|_| is_head).cloned();
         remove_hop_by_hop(&mut headers);
         headers.extend(length.map(|length| (header::CONTENT_LENGTH, length)));
@@ -119,7 +122,7 @@
     }
 }
 
-/// Reads a body, if it is short enough to be buffered.
+/// Reads a body if it is short enough to buffer.
 async fn read_body(body: Incoming) -> Result<ResponseBody, ExchangeError> {
     match body.size_hint().exact() {
         Some(length) if length > MAX_BODY_BYTES => Err(ExchangeError::TooLong),
@@ -130,10 +133,10 @@
     }
 }
 
-/// Reads a body until it is complete, or too long or too slow to be buffered.
+/// Reads a body until it is complete, or turns out to be too long or too slow to buffer.
 async fn buffer_body(mut body: Incoming) -> Result<ResponseBody, ExchangeError> {
-    let known_length = body.size_hint().exact().is_some();
-    let started_at = Instant::now();
+    let has_known_length = body.size_hint().exact().is_some();
+    let buffering_since = Instant::now();
     let mut read = BytesMut::new();
     loop {
         let frame = timeout(STALL_TIMEOUT, body.frame()).await.map_err(|_| ExchangeError::Stalled)?;
@@ -141,8 +144,8 @@
         if let Ok(data) = frame?.into_data() {
             read.extend_from_slice(&data);
         }
-        let too_slow = !known_length && started_at.elapsed() > BUFFERING_TIME;
-        if read.len() > MAX_BUFFERED_BYTES || too_slow {
+        let is_too_slow = !has_known_length && buffering_since.elapsed() > BUFFERING_TIME;
+        if read.len() > MAX_BUFFERED_BYTES || is_too_slow {
             return Ok(ResponseBody::Partial { read: read.freeze(), rest: body });
         }
     }
--- a/crates/proxy/src/upstream/guard.rs
+++ b/crates/proxy/src/upstream/guard.rs
@@ -1,4 +1,4 @@
-//! The check at the point of no return: whether a request's first byte may be written.
+//! The last check before a request's first byte is written. From that byte on the request can't be taken back.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,34 +12,34 @@
 use super::request_state::RequestState;
 use crate::denial::Denial;
 
-/// Longest pause of the process between reading the clock and writing. Deadlines and the validity of the endpoint list
-/// include it.
+/// Longest tolerated pause of the process between reading the clock and writing. Deadlines and the validity of the
+/// endpoint list include this pause.
 const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
 
-/// What must hold when the first byte of a request is written. Each part may have changed while the connection was
-/// being opened.
+/// The conditions under which the first byte of a request may be written. Each of them may have changed while the
+/// connection was being opened.
 pub(super) struct SendGuard {
-    /// Until when the endpoint list may be used.
+    /// When the endpoint list expires.
     pub(super) list_valid_until: Rc<Cell<Instant>>,
     /// Whether the endpoint accepts new requests.
     pub(super) availability: Rc<Availability>,
     /// Whether the request still needs a response.
     pub(super) state: Rc<Cell<RequestState>>,
-    /// The request, for its id and its client.
+    /// The request, which provides its id and the check of its client.
     pub(super) request: Rc<UpstreamRequest>,
-    /// Until when the attempt may start, if it repeats one that may have run.
+    /// When the attempt may no longer start; set if an earlier attempt of the request may have run.
     pub(super) start_by: Option<Instant>,
-    /// The deadline that the backend is sent, if it is known before the first byte.
+    /// The deadline propagated to the backend, if it is known before the first byte.
     pub(super) propagated_deadline: Option<Instant>,
-    /// When the request was prepared; the backend's timeout counts from here.
+    /// When the request was prepared. The timeout propagated to the backend starts then.
     pub(super) prepared_at: Instant,
 }
 
 impl SendGuard {
-    /// Why the request may not be sent, if it may not.
+    /// Returns why the request may not be sent, or `None` if it may.
     ///
-    /// The client's own socket is checked too: the driver may hear of a client that disconnects while the connection
-    /// is being opened only after the first byte.
+    /// The client's socket is checked too: if the client disconnects while the connection is being opened, the driver
+    /// may be notified only after the first byte has been written.
     pub(super) fn denial(&self) -> Option<Denial> {
         if Instant::now() >= self.list_valid_until.get() {
             Some(Denial::ListStale)
@@ -56,25 +56,26 @@
         }
     }
 
-    /// The invariants that a first byte which has just been written violates. The process may have been paused since
-    /// the guard was asked, or something may have been written past it.
+    /// Returns the invariants that are violated by the first byte, which has just been written. Violations occur if the
+    /// process was paused between the check and the write, or if the byte was written without a check.
     pub(super) fn violations(&self) -> impl Iterator<Item = Invariant> + use<> {
-        let paused = self.prepared_at.elapsed() > MAX_PROCESS_PAUSE;
-        let denial = self.denial().filter(|denial| is_violation(*denial, paused));
-        let deadline_too_late = paused && self.propagated_deadline.is_some_and(|at| Instant::now() < at);
+        let was_paused = self.prepared_at.elapsed() > MAX_PROCESS_PAUSE;
+        let denial = self.denial().filter(|denial| is_violation(*denial, was_paused));
+        let propagated_too_late =
+            was_paused && self.propagated_deadline.is_some_and(|at| Instant::now() < at);
         denial
             .map(Denial::invariant)
             .into_iter()
-            .chain(deadline_too_late.then_some(Invariant::DeadlinePropagated))
+            .chain(propagated_too_late.then_some(Invariant::DeadlinePropagated))
     }
 }
 
-/// Whether a denial just after the first byte proves a violation: time passes between the check and the write, and a
-/// client may disconnect in between.
-fn is_violation(denial: Denial, paused: bool) -> bool {
+/// Whether a denial just after the first byte was written proves a violation. Time passes between the check and the
+/// write: an expiry in between is a violation only if the process was paused, and the client may disconnect in between.
+fn is_violation(denial: Denial, was_paused: bool) -> bool {
     match denial {
         Denial::OutOfService | Denial::RequestClosed => true,
-        Denial::ListStale | Denial::IdempotencyWindowOver => paused,
+        Denial::ListStale | Denial::IdempotencyWindowOver => was_paused,
         Denial::ClientDisconnected => false,
     }
 }
--- a/crates/proxy/src/upstream/headers.rs
+++ b/crates/proxy/src/upstream/headers.rs
@@ -1,8 +1,9 @@
-//! Hop-by-hop headers, which end at this proxy.
+//! Removes hop-by-hop headers, which a proxy must not forward.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Hop-by-hop whether or not `Connection` lists them, and the content length, which is set anew.
+/// Headers that are hop-by-hop even if `Connection` does not list them, and the content length, which is set again for
+/// each message.
 const HOP_BY_HOP: [HeaderName; 11] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
@@ -17,7 +18,7 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes the hop-by-hop headers, those that `Connection` lists, and the content length.
+/// Removes the hop-by-hop headers, the headers that `Connection` lists, and the content length.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     for name in listed_in_connection(headers).iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,23 +1,23 @@
-//! Requests to backends: the connection pool, and attempts on its connections.
+//! Sends requests to backends: a connection pool, and attempts on its connections.
 //!
-//! An attempt is one request on one connection. Nothing is resent in here once its first byte has been written;
-//! whether to retry is for the core to decide.
+//! An attempt sends one request on one connection. This module never resends a request whose first byte has been
+//! written: the core decides about retries.
 //!
-//! The way of one attempt, from the driver's call to the report of its outcome:
+//! The steps of one attempt, from the driver's call to the report of its outcome:
 //!
-//! 1. `attempt` asks the `pool` for a connection to the `endpoint`: an idle one, or a new one from `dial` once the
-//!    `socket_budget` has a socket. `keep_alive` says for how long connections may be idle.
-//! 2. `attempt_request` prepares the `request` for this attempt, and `request_progress` starts over with the `guard`,
-//!    the check that the connection makes just before the first byte is written.
-//! 3. `exchange` sends the request and reads the response, as far as that is buffered. `request_progress` and
-//!    `request_framing` follow the bytes written: up to the last one the request can't have run.
-//!    `response_progress` notices a response that stalls.
-//! 4. `attempt` reports the outcome, with the `response` for the client if there is one, and `relay` streams the rest
-//!    of a response that is too long to buffer.
+//! 1. `attempt` gets a connection to the `endpoint` from the `pool`: an idle one, or a new one that `dial` opens once
+//!    the `socket_budget` has a free socket. `keep_alive` determines how long connections may be idle.
+//! 2. `attempt_request` prepares the `request` for this attempt, and `request_progress` is reset with a new `guard`,
+//!    which the connection checks just before it writes the first byte.
+//! 3. `exchange` sends the request and reads as much of the response as is buffered. `request_progress` and
+//!    `request_framing` track the bytes written, because a request can't have run before its last byte is written.
+//!    `response_progress` detects a response that stalls.
+//! 4. `attempt` reports the outcome, with the `response` for the client if there is one. `relay` streams the rest of a
+//!    response that is too long to buffer.
 //! 5. The `pool` takes the connection back, or closes it.
 //!
-//! What the guard looks up lies at the bottom: `request_state` is shared by the attempts of a request, `availability`
-//! by those to an endpoint.
+//! The guard reads state that attempts share: the attempts of one request share a `request_state`, and the attempts to
+//! one endpoint share an `availability`.
 
 mod attempt;
 mod attempt_request;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connection pool of all upstream endpoints, within the budget of sockets.
+//! The connection pool of all upstream endpoints, which stays within the socket budget.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,41 +18,43 @@
 use crate::close_reason::BackendClose;
 use crate::metrics::Metrics;
 
-/// An idle connection is closed after this fraction of the time after which its backend would close it.
-const IDLE_FRACTION: f64 = 0.7;
-/// Shorter keep-alive times than this need `close_expired`, as sweeps come only once a second.
+/// An idle connection is closed after this fraction of the backend's own idle timeout, before the backend closes it.
+const KEEP_ALIVE_FRACTION: f64 = 0.7;
+/// Keep-alive timeouts shorter than this need `close_expired`, because sweeps run only once a second.
 const MIN_SWEPT_KEEP_ALIVE: Duration = Duration::from_secs(5);
-/// Longest wait until a connection is ready for its next request.
+/// How long to wait until a connection is ready for its next request.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bounds of a time-out from the settings, in milliseconds.
+/// Lower bound of a timeout from the settings, in milliseconds.
 const MIN_TIMEOUT_MS: f64 = 1.0;
+/// Upper bound of a timeout from the settings, in milliseconds.
 const MAX_TIMEOUT_MS: f64 = 3.6e6;
 
-/// What all attempts share: the connection pool, time-outs and the budget of sockets.
+/// State that all attempts share: the connection pool, the timeouts and the socket budget.
 pub struct UpstreamPool {
-    /// The memory for bodies, shared with the clients' side.
+    /// The memory budgets for bodies, shared with the client side.
     pub memory: BodyMemory,
-    /// Whether any response but a server's error counts as served, and errors are passed on as backends word them.
-    pub(super) any_status_serves: bool,
+    /// Whether plain HTTP/1.1 is used instead of the platform's protocol. In plain HTTP every status below 500 except
+    /// 101 counts as served, and error responses are passed on unchanged.
+    pub(super) is_plain_http: bool,
     metrics: Arc<Metrics>,
     dial_timeout: Cell<Duration>,
     keep_alive: KeepAlive,
     sockets: SocketBudget,
-    /// The endpoints whose idle connections expire.
+    /// The endpoints whose idle connections this pool closes.
     endpoints: RefCell<Vec<Rc<UpstreamEndpoint>>>,
-    /// Until when a request may start by the endpoint list.
+    /// When the endpoint list expires: no request may start from then on.
     list_valid_until: Rc<Cell<Instant>>,
 }
 
 impl UpstreamPool {
-    /// An empty pool with a budget of `max_sockets`.
+    /// Creates an empty pool with a budget of `max_sockets`.
     pub fn new(
-        connections: &Connections, max_sockets: usize, any_status_serves: bool, metrics: Arc<Metrics>,
+        connections: &Connections, max_sockets: usize, is_plain_http: bool, metrics: Arc<Metrics>,
         memory: BodyMemory,
     ) -> Self {
         UpstreamPool {
             memory,
-            any_status_serves,
+            is_plain_http,
             metrics,
             dial_timeout: Cell::new(dial_timeout(connections)),
             keep_alive: KeepAlive::new(max_keep_alive(connections)),
@@ -62,12 +64,12 @@
         }
     }
 
-    /// Sets until when requests may start by the endpoint list, unless it is renewed before.
+    /// Sets when the endpoint list expires. No request may start from then on, unless the list is renewed before.
     pub fn set_list_valid_until(&self, at: Instant) {
         self.list_valid_until.set(at);
     }
 
-    /// Until when requests may start by the endpoint list, as their guards look it up.
+    /// The shared expiry of the endpoint list, which the guards of requests read.
     pub(super) fn list_valid_until(&self) -> &Rc<Cell<Instant>> {
         &self.list_valid_until
     }
@@ -78,30 +80,30 @@
         self.keep_alive.set_max(max_keep_alive(connections));
     }
 
-    /// Sockets in use.
+    /// The number of sockets in use.
     pub fn in_use(&self) -> usize {
         self.sockets.in_use()
     }
 
-    /// Adds an endpoint to those whose idle connections expire.
+    /// Adds an endpoint, so that its idle connections are closed when they expire.
     pub fn add(&self, endpoint: &Rc<UpstreamEndpoint>) {
         self.endpoints.borrow_mut().push(endpoint.clone());
     }
 
-    /// Closes connections that have been idle for too long or have ended, and forgets endpoints that nobody else
-    /// holds.
+    /// Closes idle connections that have expired, that the backend has closed, or on which it has sent unsolicited
+    /// bytes. Also removes endpoints to which only this pool still refers.
     pub fn sweep(&self) {
         let now = Instant::now();
         let keep_alive = self.keep_alive.timeout();
         self.endpoints.borrow_mut().retain(|endpoint| {
-            endpoint.close_idle_if(BackendClose::Idle, |idle| now - idle.since >= keep_alive);
+            endpoint.close_idle_if(BackendClose::Idle, |idle| now - idle.idle_since >= keep_alive);
             endpoint.close_idle_if(BackendClose::ByBackend, |idle| !idle.connection.is_alive());
             Rc::strong_count(endpoint) > 1
         });
     }
 
-    /// Closes connections that have been idle for too long, if the keep-alive time is too short for the sweeps.
-    /// Cheaper than a sweep.
+    /// Closes idle connections that have expired, if the keep-alive timeout is too short for the sweeps. This is
+    /// cheaper than a sweep.
     pub fn close_expired(&self) {
         let keep_alive = self.keep_alive.timeout();
         if keep_alive >= MIN_SWEPT_KEEP_ALIVE {
@@ -109,34 +111,34 @@
         }
         let now = Instant::now();
         for endpoint in self.endpoints.borrow().iter() {
-            endpoint.close_idle_if(BackendClose::Idle, |idle| now - idle.since >= keep_alive);
+            endpoint.close_idle_if(BackendClose::Idle, |idle| now - idle.idle_since >= keep_alive);
         }
     }
 
-    /// Closes the connection that has been idle longest, of all endpoints.
+    /// Closes the connection that has been idle longest among all endpoints.
     pub fn evict_idle(&self) {
         let endpoints = self.endpoints.borrow();
         let longest_idle = endpoints
             .iter()
             .filter_map(|endpoint| Some((endpoint.longest_idle_since()?, endpoint)))
-            .min_by_key(|(since, _)| *since);
+            .min_by_key(|(idle_since, _)| *idle_since);
         if let Some((_, endpoint)) = longest_idle {
             endpoint.evict_longest_idle();
         }
     }
 
-    /// Takes an idle connection, or opens a new one if there is none.
+    /// Takes an idle connection to the endpoint, or opens a new one if there is none.
     pub(super) async fn connect(&self, endpoint: &UpstreamEndpoint) -> Result<Connection, ConnectError> {
         match self.take_idle(endpoint) {
             Some(connection) => Ok(connection),
-            None => self.open(endpoint).await,
+            None => self.open_connection(endpoint).await,
         }
     }
 
-    /// Takes an idle connection that may carry a request; closes those that may not.
+    /// Takes a usable idle connection to the endpoint, and closes unusable ones on the way.
     fn take_idle(&self, endpoint: &UpstreamEndpoint) -> Option<Connection> {
         while let Some(idle) = endpoint.take_idle() {
-            let reason = match idle.since.elapsed() < self.keep_alive.timeout() {
+            let reason = match idle.idle_since.elapsed() < self.keep_alive.timeout() {
                 true if idle.connection.is_alive() => return Some(idle.connection),
                 true => BackendClose::ByBackend,
                 false => BackendClose::Idle,
@@ -146,8 +148,9 @@
         None
     }
 
-    /// Opens a connection once the budget has a socket for it. If it has none, the longest idle connection is closed.
-    async fn open(&self, endpoint: &UpstreamEndpoint) -> Result<Connection, ConnectError> {
+    /// Opens a connection once the budget has a free socket. If all sockets are in use, the longest idle connection is
+    /// closed first.
+    async fn open_connection(&self, endpoint: &UpstreamEndpoint) -> Result<Connection, ConnectError> {
         if self.sockets.is_exhausted() {
             self.evict_idle();
         }
@@ -157,15 +160,16 @@
         timeout(dial_timeout, dial(endpoint.address, permit, self.metrics.clone())).await?
     }
 
-    /// Takes a connection back after an exchange: keeps it idle if it is of further use, or closes it.
+    /// Takes a connection back after an exchange, and keeps it idle if it can be reused or closes it otherwise.
     pub(super) async fn release(
         &self, mut connection: Connection, endpoint: &UpstreamEndpoint, outcome: Outcome, reusable: bool,
     ) {
         self.keep_alive.record(connection.is_new, outcome == Outcome::Rejected);
         connection.is_new = false;
         connection.progress.finish();
-        let ready = reusable && matches!(timeout(READY_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())));
-        if ready && endpoint.is_open() && self.may_keep_idle() {
+        let is_ready =
+            reusable && matches!(timeout(READY_TIMEOUT, connection.sender.ready()).await, Ok(Ok(())));
+        if is_ready && endpoint.is_open() && self.may_keep_idle() {
             endpoint.put_idle(connection);
             return;
         }
@@ -173,12 +177,13 @@
         connection.close_reason.set(reason);
     }
 
-    /// Whether connections may be idle: an attempt that waits for a socket would otherwise go on waiting.
+    /// Whether a released connection may be kept idle. If an attempt waits for a socket, the connection is closed
+    /// instead, because the attempt would have to go on waiting otherwise.
     fn may_keep_idle(&self) -> bool {
         !self.sockets.has_waiters() && self.keep_alive.timeout() > MIN_KEEP_ALIVE
     }
 
-    /// The present keep-alive time.
+    /// The current keep-alive timeout.
     #[cfg(test)]
     pub(super) fn keep_alive_timeout(&self) -> Duration {
         self.keep_alive.timeout()
@@ -193,14 +198,14 @@
 
 /// How long a connection may take to open.
 fn dial_timeout(connections: &Connections) -> Duration {
-    clamped(connections.dial_timeout)
+    clamp_timeout(connections.dial_timeout)
 }
 
-/// How long a connection may be idle at most.
+/// The longest time for which a connection may be idle.
 fn max_keep_alive(connections: &Connections) -> Duration {
-    clamped(connections.idle_close * IDLE_FRACTION)
+    clamp_timeout(connections.idle_close * KEEP_ALIVE_FRACTION)
 }
 
-fn clamped(timeout_ms: f64) -> Duration {
+fn clamp_timeout(timeout_ms: f64) -> Duration {
     Duration::from_secs_f64(timeout_ms.clamp(MIN_TIMEOUT_MS, MAX_TIMEOUT_MS) / 1000.0)
 }
--- a/crates/proxy/src/upstream/relay.rs
+++ b/crates/proxy/src/upstream/relay.rs
@@ -1,4 +1,4 @@
-//! Streams responses that are too long to buffer.
+//! Streams responses that are too long or too slow to buffer.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 use crate::body_memory::MemoryBudget;
 use crate::body_stream::{BodyChunk, BodySender, MAX_BODY_BYTES};
 
-/// Longest pause of a backend within a response of which the client already has a part: such a response can't be
-/// replaced by another backend's.
-const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long to wait for the next part of a response of which the client may already have received a part. Another
+/// backend's response can't replace it any more.
+const CHUNK_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a response was not streamed to its end.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RelayError {
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    #[error("response too long")]
+    #[error("response body too long")]
     TooLong,
-    #[error("read timed out")]
+    #[error("timed out while reading the response body")]
     ReadTimedOut,
-    /// The client reads no more.
+    /// The client no longer reads the response.
     #[error("client disconnected")]
     ClientDisconnected,
 }
 
-/// Streams a response's body, of which `read` has been read, as fast as its client reads. Returns once the backend has
-/// sent all of it.
+/// Streams a response's body as fast as the client reads: first the bytes in `buffered`, then `rest`. Returns once the
+/// whole body has been received and passed on.
 pub(super) async fn relay(
-    read: Bytes, mut rest: Incoming, sender: BodySender, memory: &MemoryBudget,
+    buffered: Bytes, mut rest: Incoming, sender: BodySender, memory: &MemoryBudget,
 ) -> Result<(), RelayError> {
-    let mut next = read;
+    let mut next = buffered;
     let mut total = 0;
     loop {
         total += next.len() as u64;
@@ -47,16 +47,16 @@
         match next_chunk(&mut rest).await? {
             Some(data) => next = data,
             None => {
-                let _ = sender.send(BodyChunk::End).await; // a reader that knows the length has stopped by now
+                let _ = sender.send(BodyChunk::End).await; // fails if a reader that knows the length has stopped
                 return Ok(());
             }
         }
     }
 }
 
-/// The data of the next frame, empty for one of trailers; `None` at the end.
+/// Reads the next frame. Returns its data, which is empty for a frame of trailers, or `None` at the end of the body.
 async fn next_chunk(body: &mut Incoming) -> Result<Option<Bytes>, RelayError> {
-    match timeout(READ_TIMEOUT, body.frame()).await {
+    match timeout(CHUNK_TIMEOUT, body.frame()).await {
         Ok(None) => Ok(None),
         Ok(Some(frame)) => Ok(Some(frame?.into_data().unwrap_or_default())),
         Err(_) => Err(RelayError::ReadTimedOut),
--- a/crates/proxy/src/upstream/request.rs
+++ b/crates/proxy/src/upstream/request.rs
@@ -20,49 +20,49 @@
 pub struct UpstreamRequest {
     /// The client's method.
     pub method: Method,
-    /// Path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// End-to-end headers only.
+    /// The end-to-end headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// The body, buffered or still being received.
     pub body: RequestBody,
-    /// Asks the system whether the client has disconnected by now.
+    /// Asks the operating system whether the client has disconnected.
     pub client_disconnected: Box<dyn Fn() -> bool>,
 }
 
 /// A request's body.
 pub enum RequestBody {
-    /// Received completely before the request is sent.
+    /// A body that was received completely before the request is sent.
     Buffered {
         /// The complete body.
         bytes: Bytes,
-        /// Its part of the memory for bodies, unless it is small.
+        /// The reservation in the body memory; `None` for a small body.
         _memory: Option<MemoryReservation>,
     },
-    /// Still being received while it is sent.
+    /// A body that is still being received while it is sent.
     Streamed(Upload),
 }
 
 /// A body that is still being received while it is sent.
 pub struct Upload {
-    /// Taken by the attempt that sends it.
+    /// The stream of the body; `None` once an attempt has taken it.
     pub stream: RefCell<Option<BodyStream>>,
-    /// When the client stops waiting, unless an attempt starts to read the body before.
+    /// When the client stops waiting for a response, as long as no attempt has started to read the body.
     pub response_deadline: Instant,
-    /// Called when an attempt starts to read it, with how long the client waits for the response from the last byte
-    /// on.
+    /// Called when an attempt starts to read the body, with the time that the client waits for the response, counted
+    /// from the body's last byte.
     pub on_start: Box<dyn Fn(Duration)>,
-    /// Called when the last byte has been read.
+    /// Called when an attempt has read the body's last byte.
     pub on_complete: Rc<dyn Fn()>,
 }
 
 impl UpstreamRequest {
-    /// The request's id; empty if it has none that can be printed.
+    /// The request's id; empty if the header is missing or not printable ASCII.
     pub fn request_id(&self) -> &str {
         self.headers.get("x-request-id").and_then(|id| id.to_str().ok()).unwrap_or_default()
     }
 
-    /// Whether another attempt can send it: a streamed body can be sent by one attempt only.
+    /// Whether another attempt can send this request. Only one attempt can send a streamed body.
     pub fn is_replayable(&self) -> bool {
         match &self.body {
             RequestBody::Buffered { .. } => true,
--- a/crates/proxy/src/upstream/request_framing.rs
+++ b/crates/proxy/src/upstream/request_framing.rs
@@ -1,41 +1,41 @@
-//! Finds the last byte of a request among the bytes that are written to a socket.
+//! Detects when the last byte of a request is written to a socket.
 
 use std::cell::Cell;
 
-/// The end of a head.
+/// The bytes that end the head of a request or response.
 pub(super) const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The end of a chunked body, without trailers.
+/// The last chunk of a chunked body without trailers.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// Stands for a body of unknown length: longer than any body.
+/// The body length, in bytes, that stands for an unknown one; greater than the length of any body.
 pub(super) const UNKNOWN_LENGTH: usize = usize::MAX;
 
-/// How much of a request has been written.
+/// Tracks how much of a request has been written.
 #[derive(Default)]
 pub(super) struct RequestFraming {
-    /// How many bytes of `HEAD_END` have been written in a row.
+    /// How many bytes of `HEAD_END` the most recently written bytes match.
     head_end_matched: Cell<usize>,
-    /// Bytes of the body still to be written, from `UNKNOWN_LENGTH` downwards if its length is unknown.
+    /// Bytes of the body still to be written; counts down from `UNKNOWN_LENGTH` if the length is unknown.
     body_remaining: Cell<usize>,
 }
 
 impl RequestFraming {
-    /// Starts over for a request with a body of this length.
+    /// Resets the state for a new request with a body of this length in bytes.
     pub(super) fn start(&self, body_length: usize) {
         self.head_end_matched.set(0);
         self.body_remaining.set(body_length);
     }
 
-    /// Records that the last byte of a streamed body has been taken from its stream.
+    /// Records that the last byte of a streamed body has been read from its stream.
     ///
-    /// A body of unknown length still has its last chunk to come, five bytes at least: it counts as complete with
-    /// the first five, rather too early than too late.
-    pub(super) fn body_taken(&self) {
+    /// If the length is unknown, at least the five bytes of the last chunk are still to be written. The body counts as
+    /// complete once five more bytes have been written, which may be too early but is never too late.
+    pub(super) fn record_body_read(&self) {
         if self.body_remaining.get() > UNKNOWN_LENGTH / 2 {
             self.body_remaining.set(LAST_CHUNK.len());
         }
     }
 
-    /// Looks for the end of the head in the bytes written, and counts the bytes of the body after it.
+    /// Records bytes written: finds the end of the head, and counts the bytes of the body after it.
     pub(super) fn advance(&self, written: &[u8]) {
         let mut rest = written;
         while self.head_end_matched.get() < HEAD_END.len() {
@@ -53,7 +53,7 @@
         self.head_end_matched.set(matched);
     }
 
-    /// Whether the request's last byte has been written: from then on it may have run.
+    /// Whether the request's last byte has been written. From then on the request may have run.
     pub(super) fn is_complete(&self) -> bool {
         self.head_end_matched.get() == HEAD_END.len() && self.body_remaining.get() == 0
     }
--- a/crates/proxy/src/upstream/request_progress.rs
+++ b/crates/proxy/src/upstream/request_progress.rs
@@ -1,4 +1,4 @@
-//! How far a request has been written to its connection, and whether the next bytes may be.
+//! Tracks how far a request has been written to its connection, and decides whether the next bytes may be written.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -14,24 +14,25 @@
 use crate::close_reason::BackendClose;
 use crate::metrics::Metrics;
 
-/// Follows the bytes of a request onto its socket, and denies the first one if the request may not be sent.
+/// Tracks the bytes of a request as they are written to the socket, and denies writes if the request may not be sent.
 #[derive(Default)]
 pub(super) struct RequestProgress {
-    /// What must hold when the first byte is written; `None` between requests.
+    /// The conditions for writing the first byte; `None` between requests.
     guard: RefCell<Option<SendGuard>>,
-    /// The first byte has been written.
-    started: Cell<bool>,
-    /// The last write was denied.
-    denied: Cell<bool>,
+    /// Whether the first byte has been written.
+    has_started: Cell<bool>,
+    /// Whether the last write was denied.
+    was_denied: Cell<bool>,
     framing: RequestFraming,
-    /// When a streamed request's response times out; known with the body's last byte, which `body_complete` announces.
+    /// When the response to a streamed request times out; `None` until the body's last byte has been read.
     response_deadline: Cell<Option<Instant>>,
-    body_complete: Notify,
-    /// The client has not finished its body.
-    body_failed: Cell<bool>,
-    /// How far the response has been read.
+    /// Notified when `response_deadline` has been set.
+    response_deadline_set: Notify,
+    /// Whether the stream of the body ended before the body was complete.
+    is_body_incomplete: Cell<bool>,
+    /// Progress of the response.
     pub(super) response: ResponseProgress,
-    /// `None` in tests without sockets.
+    /// The metrics; `None` in tests without sockets.
     metrics: Option<Arc<Metrics>>,
 }
 
@@ -40,39 +41,39 @@
         RequestProgress { metrics: Some(metrics), ..RequestProgress::default() }
     }
 
-    /// Starts over for a request with a body of this length.
+    /// Resets the state for a new request with a body of this length in bytes.
     pub(super) fn start(&self, guard: SendGuard, body_length: usize) {
         self.guard.replace(Some(guard));
-        self.started.set(false);
-        self.denied.set(false);
+        self.has_started.set(false);
+        self.was_denied.set(false);
         self.framing.start(body_length);
         self.response.start();
         self.response_deadline.set(None);
-        self.body_failed.set(false);
+        self.is_body_incomplete.set(false);
     }
 
-    /// Forgets the request, whose exchange is over: nothing may be written until the next one starts.
+    /// Ends the request after its exchange. Nothing may be written until the next request starts.
     pub(super) fn finish(&self) {
         self.guard.replace(None);
     }
 
-    /// Counts that the connection is closed.
-    pub(super) fn connection_closed(&self, reason: BackendClose) {
+    /// Counts in the metrics that the connection was closed.
+    pub(super) fn count_closed_connection(&self, reason: BackendClose) {
         if let Some(metrics) = &self.metrics {
             metrics.backend_closed(reason);
         }
     }
 
-    /// Records that the last byte of a streamed body has been taken, and when the response times out.
-    pub(super) fn body_taken(&self, response_deadline: Instant) {
-        self.framing.body_taken();
+    /// Records that the last byte of a streamed body has been read from its stream, and when the response times out.
+    pub(super) fn record_body_read(&self, response_deadline: Instant) {
+        self.framing.record_body_read();
         self.response_deadline.set(Some(response_deadline));
-        self.body_complete.notify_one();
+        self.response_deadline_set.notify_one();
     }
 
-    /// Records that the client has not finished its body.
-    pub(super) fn body_failed(&self) {
-        self.body_failed.set(true);
+    /// Records that the stream of the body ended before the body was complete.
+    pub(super) fn record_body_incomplete(&self) {
+        self.is_body_incomplete.set(true);
     }
 
     /// Waits until the response to a streamed request times out.
@@ -80,34 +81,35 @@
         loop {
             match self.response_deadline.get() {
                 Some(deadline) => return sleep_until(deadline).await,
-                None => self.body_complete.notified().await,
+                None => self.response_deadline_set.notified().await,
             }
         }
     }
 
-    /// Whether the next bytes may be written.
+    /// Checks whether the next bytes may be written, and records whether they were denied.
     pub(super) fn may_write(&self) -> bool {
-        let allowed = if self.started.get() { self.may_continue() } else { self.may_start() };
-        self.denied.set(!allowed);
+        let allowed = if self.has_started.get() { self.may_write_more() } else { self.may_write_first() };
+        self.was_denied.set(!allowed);
         allowed
     }
 
     /// Whether the first byte has been written.
     pub(super) fn has_started(&self) -> bool {
-        self.started.get()
+        self.has_started.get()
     }
 
-    /// Whether nothing has been written, and not because the request was denied.
-    pub(super) fn is_untouched(&self) -> bool {
-        !self.started.get() && !self.denied.get()
+    /// Whether no byte of the request has been written and the last write was not denied.
+    pub(super) fn is_unwritten_without_denial(&self) -> bool {
+        !self.has_started.get() && !self.was_denied.get()
     }
 
-    /// Whether the request was stopped on this side: denied, or left incomplete by its client.
+    /// Whether the proxy stopped the request: a write was denied, or the client did not send its whole body.
     pub(super) fn was_withdrawn(&self) -> bool {
-        self.denied.get() || self.body_failed.get()
+        self.was_denied.get() || self.is_body_incomplete.get()
     }
 
-    fn may_start(&self) -> bool {
+    /// Whether the first byte may be written; logs and counts a denial.
+    fn may_write_first(&self) -> bool {
         let guard = self.guard.borrow();
         let Some(guard) = guard.as_ref() else { return false };
         let Some(denial) = guard.denial() else { return true };
@@ -118,19 +120,20 @@
         false
     }
 
-    /// An incomplete request never runs, so it ends here once its client has left. One that has its response is
-    /// written to its end, or the response might break.
-    fn may_continue(&self) -> bool {
+    /// Whether more bytes may be written after the first one. A backend never runs an incomplete request, so writing
+    /// stops once the request is abandoned. A request that already has its response is written to its end, because
+    /// stopping might break the response.
+    fn may_write_more(&self) -> bool {
         let guard = self.guard.borrow();
-        let abandoned = guard.as_ref().is_some_and(|guard| guard.state.get() == RequestState::Abandoned);
-        self.is_complete() || !abandoned
+        let is_abandoned = guard.as_ref().is_some_and(|guard| guard.state.get() == RequestState::Abandoned);
+        self.is_complete() || !is_abandoned
     }
 
-    /// Records bytes of the request that have been written.
+    /// Records bytes of the request that have been written to the socket.
     pub(super) fn record_written(&self, bytes: &[u8]) {
-        if !self.started.get() && !bytes.is_empty() {
-            self.started.set(true);
-            self.verify_start();
+        if !self.has_started.get() && !bytes.is_empty() {
+            self.has_started.set(true);
+            self.count_violations();
         }
         let was_complete = self.is_complete();
         self.framing.advance(bytes);
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Counts the invariants that the request's first byte violates, once it has been written.
-    fn verify_start(&self) {
+    /// Counts the invariants that the request's first byte violated; called just after that byte was written.
+    fn count_violations(&self) {
         let guard = self.guard.borrow();
         let Some(guard) = guard.as_ref() else { return };
         let Some(metrics) = &self.metrics else { return };
@@ -150,12 +153,12 @@
         }
     }
 
-    /// Records bytes of the response that have been read.
+    /// Records bytes of the response that have been read from the socket.
     pub(super) fn record_read(&self, bytes: &[u8]) {
         self.response.record_read(bytes, self.is_complete());
     }
 
-    /// Whether the request's last byte has been written: from then on it may have run.
+    /// Whether the request's last byte has been written. From then on the request may have run.
     pub(super) fn is_complete(&self) -> bool {
         self.framing.is_complete()
     }
--- a/crates/proxy/src/upstream/request_state.rs
+++ b/crates/proxy/src/upstream/request_state.rs
@@ -1,12 +1,12 @@
-//! The state that all attempts of one request share.
+//! The state of a request, which all of its attempts share.
 
-/// What has become of a request while its attempts are in flight.
+/// The state of a request, which may change while its attempts are in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestState {
-    /// It has no response yet.
+    /// The client has no response yet.
     Pending,
-    /// It has its response.
+    /// The response to the client has been chosen: a backend's, a rejection or a failure.
     Answered,
-    /// Its client has disconnected, or its deadline has passed.
+    /// The client has disconnected, or the request's deadline has passed.
     Abandoned,
 }
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! A backend's response in the form in which the driver receives it.
+//! A backend's response as the driver receives it.
 
 use hyper::StatusCode;
 use hyper::header::HeaderMap;
@@ -6,13 +6,13 @@
 
 use super::request::MessageBody;
 
-/// A backend's response.
+/// A backend's response as the driver receives it.
 pub struct UpstreamResponse {
-    /// When its first bytes arrived. Latency is measured up to here, however long the rest takes.
+    /// When the first bytes of the response arrived. Latency is measured up to this time, however long the rest takes.
     pub started_at: Instant,
-    /// Its status code.
+    /// The status code.
     pub status: StatusCode,
-    /// End-to-end headers only.
+    /// The end-to-end headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     /// The body, buffered or still being received.
     pub body: MessageBody,
--- a/crates/proxy/src/upstream/response_progress.rs
+++ b/crates/proxy/src/upstream/response_progress.rs
@@ -1,4 +1,4 @@
-//! How far a response has been read from its connection.
+//! Tracks how far a response has been read from its connection, and detects stalls.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -8,55 +8,56 @@
 
 use super::request_framing::HEAD_END;
 
-/// Once a response has started, its next bytes must arrive within this time. A response that is shorter than its
-/// content length would otherwise keep its request until the client gives up.
+/// How long to wait for the next bytes of a response that has started. Without this limit, a response shorter than its
+/// content length would block its request until the client gives up.
 pub(super) const STALL_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Follows the bytes of a response as they are read.
+/// Tracks the bytes of a response as they are read.
 #[derive(Default)]
 pub(super) struct ResponseProgress {
-    /// Since when a part of a response has been there without its end.
-    partial_since: Cell<Option<Instant>>,
-    /// When the last head started to arrive.
+    /// When the last bytes of a response that may be incomplete arrived; `None` if no bytes have arrived for the
+    /// request, or the last ones ended with a blank line.
+    last_partial_read_at: Cell<Option<Instant>>,
+    /// When the first bytes of the most recent response head arrived.
     started_at: Cell<Option<Instant>>,
-    /// Whether the request was not completely written then.
-    early: Cell<bool>,
-    /// Notified when bytes have been read.
+    /// Whether the request was not completely written at that time.
+    is_early: Cell<bool>,
+    /// Notified when bytes of the response have been read.
     bytes_read: Notify,
 }
 
 impl ResponseProgress {
-    /// Starts over for another request.
+    /// Resets the state for a new request.
     pub(super) fn start(&self) {
-        self.partial_since.set(None);
+        self.last_partial_read_at.set(None);
     }
 
-    /// Records bytes of a response. What stops at a blank line may be an interim response's complete head, after
-    /// which the final one may take its time.
+    /// Records bytes of a response. Bytes that end in a blank line do not start the stall timeout: they may be the
+    /// complete head of an interim response, and the final response may arrive much later.
     pub(super) fn record_read(&self, bytes: &[u8], request_complete: bool) {
         let now = Instant::now();
-        let partial = !bytes.ends_with(HEAD_END);
-        if self.partial_since.replace(partial.then_some(now)).is_none() {
+        let may_be_partial = !bytes.ends_with(HEAD_END);
+        if self.last_partial_read_at.replace(may_be_partial.then_some(now)).is_none() {
             self.started_at.set(Some(now));
-            self.early.set(!request_complete);
+            self.is_early.set(!request_complete);
         }
         self.bytes_read.notify_one();
     }
 
-    /// When the last head started to arrive.
+    /// When the first bytes of the most recent response head arrived.
     pub(super) fn started_at(&self) -> Option<Instant> {
         self.started_at.get()
     }
 
-    /// Whether the last head started to arrive before the request was completely written.
+    /// Whether the most recent response head started to arrive before the request was completely written.
     pub(super) fn is_early(&self) -> bool {
-        self.early.get()
+        self.is_early.get()
     }
 
-    /// Waits until a response has started and stalled.
+    /// Waits until a response has started and then stalled for `STALL_TIMEOUT`.
     pub(super) async fn stalled(&self) {
         loop {
-            match self.partial_since.get() {
+            match self.last_partial_read_at.get() {
                 Some(since) if since.elapsed() >= STALL_TIMEOUT => return,
                 Some(since) => sleep_until(since + STALL_TIMEOUT).await,
                 None => self.bytes_read.notified().await,
--- a/crates/proxy/src/upstream/socket_budget.rs
+++ b/crates/proxy/src/upstream/socket_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of sockets to backends.
+//! Limits the number of open sockets to backends.
 
 use std::cell::Cell;
 use std::io;
@@ -6,7 +6,7 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// How many sockets to backends may be open at once.
+/// A limit on the number of sockets to backends that are open at once.
 pub(super) struct SocketBudget {
     permits: Arc<Semaphore>,
     capacity: usize,
@@ -18,7 +18,7 @@
         SocketBudget { permits: Arc::new(Semaphore::new(capacity)), capacity, waiting: Cell::new(0) }
     }
 
-    /// Waits for a socket.
+    /// Waits until a socket is free, and returns its permit.
     pub(super) async fn acquire(&self) -> io::Result<OwnedSemaphorePermit> {
         let _waiter = Waiter::new(&self.waiting);
         self.permits.clone().acquire_owned().await.map_err(io::Error::other)
@@ -34,13 +34,13 @@
         self.waiting.get() > 0
     }
 
-    /// Sockets in use.
+    /// The number of sockets in use.
     pub(super) fn in_use(&self) -> usize {
         self.capacity - self.permits.available_permits()
     }
 }
 
-/// Counts one attempt that waits for a socket, until dropped.
+/// Counts one attempt as waiting for a socket until it is dropped.
 struct Waiter<'a>(&'a Cell<usize>);
 
 impl<'a> Waiter<'a> {
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts on real connections, in an order that the test sets.
+//! Tests of attempts on real connections, in which the test controls the order of events.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -25,12 +25,12 @@
 const SERVED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const REJECTED: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// A time up to which the endpoint list is valid: far away.
+/// An expiry of the endpoint list in the distant future.
 fn list_valid_until() -> Rc<Cell<Instant>> {
     Rc::new(Cell::new(Instant::now() + Duration::from_secs(3600)))
 }
 
-fn pending() -> Rc<Cell<RequestState>> {
+fn pending_state() -> Rc<Cell<RequestState>> {
     Rc::new(Cell::new(RequestState::Pending))
 }
 
@@ -38,7 +38,7 @@
     upstream_request_checked_by(body, move || client_disconnected)
 }
 
-/// A request whose client is checked by `client_disconnected`, which is called just before the first byte is written.
+/// A request with a custom check of its client, which is called just before the first byte is written.
 fn upstream_request_checked_by(
     body: Bytes, client_disconnected: impl Fn() -> bool + 'static,
 ) -> Rc<UpstreamRequest> {
@@ -51,7 +51,7 @@
     })
 }
 
-fn pool_of(sockets: usize) -> Rc<UpstreamPool> {
+fn new_pool(sockets: usize) -> Rc<UpstreamPool> {
     let connections = Connections { dial_timeout: 600_000.0, idle_close: 600_000.0 };
     let memory = BodyMemory { streamed: MemoryBudget::new(1 << 20), read_ahead: MemoryBudget::new(1 << 20) };
     let pool = UpstreamPool::new(&connections, sockets, false, Arc::default(), memory);
@@ -60,14 +60,14 @@
 }
 
 async fn listen() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").await.expect("a port")
+    TcpListener::bind("127.0.0.1:0").await.expect("bind failed")
 }
 
-/// Starts an attempt at the listener's address; returns how it ends.
+/// Starts an attempt at the listener's address. The returned task yields the reported outcome.
 fn start_attempt(
     pool: &Rc<UpstreamPool>, listener: &TcpListener, body: Bytes, state: &Rc<Cell<RequestState>>,
 ) -> JoinHandle<Option<Outcome>> {
-    let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("an address"), 0.0);
+    let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("no local address"), 0.0);
     pool.add(&endpoint);
     start_attempt_at(pool, &endpoint, body, state)
 }
@@ -95,15 +95,16 @@
     })
 }
 
-fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let in_time = async { timeout(Duration::from_secs(30), test).await.expect("it ends in time") };
+fn run_test(test: impl Future<Output = ()>) {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("runtime build failed");
+    let in_time = async { timeout(Duration::from_secs(30), test).await.expect("test timed out") };
     tokio::task::LocalSet::new().block_on(&runtime, in_time);
 }
 
-/// Accepts the next connection and reads the head on it.
+/// Accepts the next connection and reads a request head from it.
 async fn accept_request(listener: &TcpListener) -> TcpStream {
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let (mut stream, _) = listener.accept().await.expect("accept failed");
     read_head(&mut stream).await;
     stream
 }
@@ -111,7 +112,7 @@
 async fn read_head(stream: &mut TcpStream) {
     let mut read = Vec::new();
     while !read.ends_with(HEAD_END) {
-        assert!(stream.read_buf(&mut read).await.expect("a head") > 0);
+        assert!(stream.read_buf(&mut read).await.expect("read failed") > 0);
     }
 }
 
@@ -121,85 +122,88 @@
     }
 }
 
+/// Guards against idle connections that keep taking places at backends which reject requests on new connections.
 #[test]
 fn idle_connections_close_while_new_ones_are_rejected() {
-    run(async {
-        let pool = pool_of(8);
-        let state = pending();
+    run_test(async {
+        let pool = new_pool(8);
+        let state = pending_state();
         let accepting = listen().await;
         let rejecting = listen().await;
         let first = start_attempt(&pool, &accepting, Bytes::new(), &state);
         let mut idle = accept_request(&accepting).await;
-        idle.write_all(SERVED).await.expect("it reads");
-        assert_eq!(first.await.expect("no panic"), Some(Outcome::Served));
+        idle.write_all(SERVED).await.expect("write failed");
+        assert_eq!(first.await.expect("attempt panicked"), Some(Outcome::Served));
         let max_keep_alive = pool.keep_alive_timeout();
         let mut rejections = 0;
         while pool.keep_alive_timeout() > MIN_KEEP_ALIVE {
             let attempt = start_attempt(&pool, &rejecting, Bytes::new(), &state);
-            accept_request(&rejecting).await.write_all(REJECTED).await.expect("it reads");
-            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Rejected));
+            accept_request(&rejecting).await.write_all(REJECTED).await.expect("write failed");
+            assert_eq!(attempt.await.expect("attempt panicked"), Some(Outcome::Rejected));
             rejections += 1;
             assert!(rejections < 100, "{:?}", pool.keep_alive_timeout());
         }
-        tokio::time::sleep(MIN_KEEP_ALIVE).await; // so that it has been idle for longer than is now allowed
+        tokio::time::sleep(MIN_KEEP_ALIVE).await; // the idle connection is now past its shortened timeout
         pool.close_expired();
-        assert_eq!(idle.read(&mut [0; 1]).await.expect("an end"), 0);
-        // As new ones are accepted, they are kept for longer again.
+        assert_eq!(idle.read(&mut [0; 1]).await.expect("no end of stream"), 0);
+        // The timeout grows again once requests on new connections are accepted.
         while pool.keep_alive_timeout() < max_keep_alive {
             let attempt = start_attempt(&pool, &accepting, Bytes::new(), &state);
-            accept_request(&accepting).await.write_all(SERVED).await.expect("it reads");
-            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Served));
+            accept_request(&accepting).await.write_all(SERVED).await.expect("write failed");
+            assert_eq!(attempt.await.expect("attempt panicked"), Some(Outcome::Served));
         }
     });
 }
 
+/// Guards against a socket that stays with an idle connection while another attempt waits for one.
 #[test]
 fn released_socket_goes_to_the_attempt_that_waits() {
-    run(async {
-        let pool = pool_of(1);
+    run_test(async {
+        let pool = new_pool(1);
         let first_backend = listen().await;
         let second_backend = listen().await;
-        let state = pending();
+        let state = pending_state();
         let first = start_attempt(&pool, &first_backend, Bytes::new(), &state);
         let mut first_stream = accept_request(&first_backend).await;
         let second = start_attempt(&pool, &second_backend, Bytes::new(), &state);
         wait_until_an_attempt_waits(&pool).await;
-        first_stream.write_all(SERVED).await.expect("it reads");
-        assert_eq!(first.await.expect("no panic"), Some(Outcome::Served));
+        first_stream.write_all(SERVED).await.expect("write failed");
+        assert_eq!(first.await.expect("attempt panicked"), Some(Outcome::Served));
         let mut second_stream = accept_request(&second_backend).await;
-        second_stream.write_all(SERVED).await.expect("it reads");
-        assert_eq!(second.await.expect("no panic"), Some(Outcome::Served));
+        second_stream.write_all(SERVED).await.expect("write failed");
+        assert_eq!(second.await.expect("attempt panicked"), Some(Outcome::Served));
     });
 }
 
-/// Guards against a lack of sockets here that is held against a backend.
+/// Guards against counting a lack of sockets in this process as a failure of the backend.
 #[test]
 fn attempt_that_gets_no_socket_is_withdrawn() {
-    run(async {
-        let pool = pool_of(1);
+    run_test(async {
+        let pool = new_pool(1);
         let first_backend = listen().await;
         let second_backend = listen().await;
-        let state = pending();
+        let state = pending_state();
         let _first = start_attempt(&pool, &first_backend, Bytes::new(), &state);
         let _first_stream = accept_request(&first_backend).await;
         pool.reconfigure(&Connections { dial_timeout: 50.0, idle_close: 600_000.0 });
         let second = start_attempt(&pool, &second_backend, Bytes::new(), &state);
-        assert_eq!(second.await.expect("no panic"), Some(Outcome::Withdrawn));
+        assert_eq!(second.await.expect("attempt panicked"), Some(Outcome::Withdrawn));
     });
 }
 
+/// Guards against completing a request that nobody waits for, and against cutting off a request that has its response.
 #[test]
 fn partly_written_request_is_not_completed_once_abandoned() {
     let cases = [(RequestState::Abandoned, false), (RequestState::Answered, true)];
     for (new_state, completed) in cases {
-        run(async move {
+        run_test(async move {
             let listener = listen().await;
-            let state = pending();
-            let size = 30 << 20; // more than the system's buffers hold
-            let attempt = start_attempt(&pool_of(1), &listener, vec![0; size].into(), &state);
-            let (mut backend, _) = listener.accept().await.expect("the attempt");
+            let state = pending_state();
+            let size = 30 << 20; // more than the operating system's socket buffers hold
+            let attempt = start_attempt(&new_pool(1), &listener, vec![0; size].into(), &state);
+            let (mut backend, _) = listener.accept().await.expect("accept failed");
             let mut buffer = vec![0; 1 << 16];
-            let mut read = backend.read(&mut buffer).await.expect("the head");
+            let mut read = backend.read(&mut buffer).await.expect("read failed");
             state.set(new_state);
             let served = async {
                 while read < size {
@@ -212,26 +216,26 @@
             };
             assert_eq!(served.await, completed, "{new_state:?}: {read} bytes");
             let outcome = if completed { Outcome::Served } else { Outcome::Withdrawn };
-            assert_eq!(attempt.await.expect("no panic"), Some(outcome));
+            assert_eq!(attempt.await.expect("attempt panicked"), Some(outcome));
         });
     }
 }
 
-/// An endpoint with one idle connection, and the backend's end of that.
+/// Makes an endpoint with one idle connection. Returns the endpoint and the backend's end of the connection.
 async fn idle_connection(
     pool: &Rc<UpstreamPool>, listener: &TcpListener, state: &Rc<Cell<RequestState>>,
 ) -> (Rc<UpstreamEndpoint>, TcpStream) {
-    let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("an address"), 0.0);
+    let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("no local address"), 0.0);
     pool.add(&endpoint);
     let attempt = start_attempt_at(pool, &endpoint, Bytes::new(), state);
     let mut idle = accept_request(listener).await;
-    idle.write_all(SERVED).await.expect("it reads");
-    assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Served));
+    idle.write_all(SERVED).await.expect("write failed");
+    assert_eq!(attempt.await.expect("attempt panicked"), Some(Outcome::Served));
     assert_eq!(endpoint.idle_connections(), 1);
     (endpoint, idle)
 }
 
-/// What a backend does to an idle connection; returns its end if that stays open.
+/// An action of a backend on an idle connection. Returns the backend's end if it stays open.
 type IdleAction = fn(TcpStream) -> Option<TcpStream>;
 
 fn close(idle: TcpStream) -> Option<TcpStream> {
@@ -240,25 +244,27 @@
 }
 
 fn send_unsolicited_response(idle: TcpStream) -> Option<TcpStream> {
-    idle.try_write(SERVED).expect("buffer space");
+    idle.try_write(SERVED).expect("write failed");
     Some(idle)
 }
 
 fn send_partial_response(idle: TcpStream) -> Option<TcpStream> {
-    idle.try_write(b"HTT").expect("buffer space");
+    idle.try_write(b"HTT").expect("write failed");
     Some(idle)
 }
 
+/// Guards against a request that is lost, or gets an unsolicited response, because the backend closes the idle
+/// connection or sends on it between the check of the connection and the first byte.
 #[test]
 fn idle_connection_that_ends_or_sends_before_the_first_byte_is_replaced() {
     let actions: [IdleAction; 3] = [close, send_unsolicited_response, send_partial_response];
     for action in actions {
-        run(async move {
+        run_test(async move {
             let listener = listen().await;
-            let pool = pool_of(8);
-            let state = pending();
+            let pool = new_pool(8);
+            let state = pending_state();
             let (endpoint, idle) = idle_connection(&pool, &listener, &state).await;
-            // The attempt has taken the connection before the backend acts, and writes only after that.
+            // The backend acts after the attempt has taken the connection and before the attempt writes to it.
             let backend_end = Rc::new(RefCell::new(Some(idle)));
             let kept_open = Rc::new(RefCell::new(None));
             let act_before_first_byte = {
@@ -267,7 +273,7 @@
                 let kept_open = kept_open.clone();
                 move || {
                     if let Some(idle) = backend_end.take() {
-                        assert_eq!(endpoint.idle_connections(), 0, "it has been taken");
+                        assert_eq!(endpoint.idle_connections(), 0, "the attempt has taken it");
                         kept_open.replace(action(idle));
                     }
                     false
@@ -276,47 +282,55 @@
             let request = upstream_request_checked_by(Bytes::new(), act_before_first_byte);
             let attempt = start_request_at(&pool, &endpoint, request, &state);
             let mut new = accept_request(&listener).await;
-            new.write_all(REJECTED).await.expect("it reads");
-            assert_eq!(attempt.await.expect("no panic"), Some(Outcome::Rejected), "the new one's response");
+            new.write_all(REJECTED).await.expect("write failed");
+            assert_eq!(
+                attempt.await.expect("attempt panicked"),
+                Some(Outcome::Rejected),
+                "response of the new one"
+            );
             assert!(backend_end.take().is_none(), "the backend has acted");
             if let Some(mut idle) = kept_open.take() {
                 let read = idle.read(&mut [0; 1]).await;
-                assert!(!matches!(read, Ok(1)), "nothing is written to the old one");
+                assert!(!matches!(read, Ok(1)), "nothing is written to the old connection");
             }
         });
     }
 }
 
+/// Guards against counting a request as possibly run, or dialing again, when a backend closes a new connection before
+/// the first byte.
 #[test]
 fn new_connection_that_ends_before_the_first_byte_is_a_connect_failure() {
-    run(async {
-        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let pool = pool_of(8);
-        let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("an address"), 0.0);
-        let attempt = start_attempt_at(&pool, &endpoint, Bytes::new(), &pending());
-        tokio::task::yield_now().await; // the attempt dials, and is notified only after this that it is connected
-        drop(listener.accept().expect("the attempt's connection"));
-        assert_eq!(attempt.await.expect("no panic"), Some(Outcome::ConnectFailed));
+    run_test(async {
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("bind failed");
+        let pool = new_pool(8);
+        let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("no local address"), 0.0);
+        let attempt = start_attempt_at(&pool, &endpoint, Bytes::new(), &pending_state());
+        tokio::task::yield_now().await; // the attempt dials here, but sees the connection established only later
+        drop(listener.accept().expect("accept failed"));
+        assert_eq!(attempt.await.expect("attempt panicked"), Some(Outcome::ConnectFailed));
     });
 }
 
+/// Guards against sending a request that is abandoned while its attempt waits for a socket.
 #[test]
 fn request_abandoned_while_it_waits_for_a_socket_is_withdrawn() {
-    run(async {
-        let pool = pool_of(1);
+    run_test(async {
+        let pool = new_pool(1);
         let first_backend = listen().await;
         let second_backend = listen().await;
-        let first_state = pending();
-        let second_state = pending();
+        let first_state = pending_state();
+        let second_state = pending_state();
         let first = start_attempt(&pool, &first_backend, Bytes::new(), &first_state);
         let mut first_stream = accept_request(&first_backend).await;
         let second = start_attempt(&pool, &second_backend, Bytes::new(), &second_state);
         wait_until_an_attempt_waits(&pool).await;
         second_state.set(RequestState::Abandoned);
-        first_stream.write_all(SERVED).await.expect("it reads");
-        assert_eq!(first.await.expect("no panic"), Some(Outcome::Served));
-        assert_eq!(second.await.expect("no panic"), Some(Outcome::Withdrawn));
-        let (mut unused, _) = second_backend.accept().await.expect("it was opened all the same");
-        assert_eq!(unused.read(&mut [0; 1]).await.expect("an end"), 0);
+        first_stream.write_all(SERVED).await.expect("write failed");
+        assert_eq!(first.await.expect("attempt panicked"), Some(Outcome::Served));
+        assert_eq!(second.await.expect("attempt panicked"), Some(Outcome::Withdrawn));
+        // The connection is opened all the same, but closed without a request.
+        let (mut unused, _) = second_backend.accept().await.expect("accept failed");
+        assert_eq!(unused.read(&mut [0; 1]).await.expect("no end of stream"), 0);
     });
 }
--- a/crates/proxy/src/upstream/tests/units.rs
+++ b/crates/proxy/src/upstream/tests/units.rs
@@ -1,4 +1,4 @@
-//! Parts of an attempt by themselves, without connections.
+//! Unit tests of the parts of an attempt, without connections.
 
 use std::cell::Cell;
 use std::io;
@@ -10,7 +10,7 @@
 use leadrelay_core::Invariant;
 use tokio::time::Instant;
 
-use super::{list_valid_until, pending, upstream_request};
+use super::{list_valid_until, pending_state, upstream_request};
 use crate::upstream::dial::ConnectError;
 use crate::upstream::endpoint::{UpstreamEndpoint, choose_idle};
 use crate::upstream::guard::SendGuard;
@@ -26,7 +26,7 @@
 /// ECONNRESET, ETIMEDOUT, ECONNREFUSED, EHOSTUNREACH.
 const REMOTE_ERRORS: [i32; 4] = [104, 110, 111, 113];
 
-/// A request that has been started on a connection, and what its guard looks up.
+/// A request that has been started on a connection, and the state that its guard reads.
 struct StartedRequest {
     progress: RequestProgress,
     endpoint: Rc<UpstreamEndpoint>,
@@ -37,19 +37,19 @@
     fn new(body_length: usize) -> Self {
         let started = StartedRequest {
             progress: RequestProgress::default(),
-            endpoint: UpstreamEndpoint::new("127.0.0.1:1".parse().expect("an address"), 0.0),
-            state: pending(),
+            endpoint: UpstreamEndpoint::new("127.0.0.1:1".parse().expect("invalid address"), 0.0),
+            state: pending_state(),
         };
         started.progress.start(started.guard(), body_length);
         started
     }
 
-    /// A guard of a request that is sent at once.
+    /// A guard whose request has an empty body and a connected client.
     fn guard(&self) -> SendGuard {
-        self.guard_of(upstream_request(Bytes::new(), false))
+        self.guard_with_request(upstream_request(Bytes::new(), false))
     }
 
-    fn guard_of(&self, request: Rc<UpstreamRequest>) -> SendGuard {
+    fn guard_with_request(&self, request: Rc<UpstreamRequest>) -> SendGuard {
         SendGuard {
             list_valid_until: list_valid_until(),
             availability: self.endpoint.availability().clone(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether the next bytes are denied, and recorded as such.
+    /// Whether the next write is denied and the denial is recorded.
     fn is_denied(&self) -> bool {
         !self.progress.may_write() && self.progress.was_withdrawn()
     }
@@ -93,12 +93,12 @@
     assert!(open.progress.may_write());
     open.progress.record_written(b"G");
     open.endpoint.set_open(false);
-    assert!(open.progress.may_write(), "what has started is finished");
-    assert!(!RequestProgress::default().may_write(), "nothing is written between requests");
+    assert!(open.progress.may_write(), "a started request may be finished");
+    assert!(!RequestProgress::default().may_write(), "no write is allowed between requests");
     let disconnected = StartedRequest::new(0);
-    let guard = disconnected.guard_of(upstream_request(Bytes::new(), true));
+    let guard = disconnected.guard_with_request(upstream_request(Bytes::new(), true));
     disconnected.progress.start(guard, 0);
-    assert!(disconnected.is_denied(), "its client has disconnected");
+    assert!(disconnected.is_denied(), "the client has disconnected");
 }
 
 #[test]
@@ -113,7 +113,7 @@
     assert!(request.progress.may_write());
     request.progress.record_written(b"G");
     list_valid_until.set(Instant::now());
-    assert!(request.progress.may_write(), "what has started is finished");
+    assert!(request.progress.may_write(), "a started request may be finished");
 }
 
 #[test]
@@ -131,7 +131,7 @@
     let short_timeout = Duration::from_millis(100);
     let late = guard(before_a_pause, Duration::from_secs(60));
     assert_eq!(violations(&late), [Invariant::DeadlinePropagated]);
-    assert_eq!(violations(&guard(before_a_pause, short_timeout)), [], "its deadline passed before");
+    assert_eq!(violations(&guard(before_a_pause, short_timeout)), [], "the deadline had already passed");
     request.endpoint.set_open(false);
     assert_eq!(violations(&guard(now, Duration::from_secs(60))), [Invariant::BackendInService]);
     request.endpoint.set_open(true);
@@ -141,7 +141,7 @@
     request.state.set(RequestState::Pending);
     assert_eq!(violations(&late_retry), [Invariant::RepeatAllowed]);
     let retry_in_time = SendGuard { prepared_at: now, ..late_retry };
-    assert_eq!(violations(&retry_in_time), [], "it was allowed just before");
+    assert_eq!(violations(&retry_in_time), [], "the process was not paused");
     request.state.set(RequestState::Answered);
     let stale_list =
         SendGuard { list_valid_until: Rc::new(Cell::new(now)), ..guard(before_a_pause, short_timeout) };
@@ -187,7 +187,7 @@
     framing.start(UNKNOWN_LENGTH);
     framing.advance(b"POST /x HTTP/1.1\r\n\r\n4\r\nbody\r\n");
     assert!(!framing.is_complete());
-    framing.body_taken();
+    framing.record_body_read();
     assert!(!framing.is_complete());
     framing.advance(b"0\r\n\r\n");
     assert!(framing.is_complete());
