--- a/crates/proxy/src/driver/endpoints.rs
+++ b/crates/proxy/src/driver/endpoints.rs
@@ -106,7 +106,7 @@
     fn connect(&mut self, id: EndpointId, endpoint: &ListedEndpoint, context: &mut Context) {
         let Some(address) = endpoint.address else { return };
         let is_same = |upstream: &Rc<UpstreamEndpoint>| {
-            upstream.address == address && upstream.born_ms == endpoint.started_unix_ms
+            upstream.address == address && upstream.started_unix_ms == endpoint.started_unix_ms
         };
         if self.upstreams.get(&id).is_some_and(is_same) {
             return;
--- a/crates/proxy/src/upstream/endpoint.rs
+++ b/crates/proxy/src/upstream/endpoint.rs
@@ -20,7 +20,7 @@
     /// The address on which the process accepts connections.
     pub address: SocketAddr,
     /// When the process started according to discovery, in Unix milliseconds.
-    pub born_ms: f64,
+    pub started_unix_ms: f64,
     availability: Rc<Availability>,
     /// The idle connections, longest idle first.
     idle: RefCell<Vec<IdleConnection>>,
@@ -34,8 +34,13 @@
 
 impl UpstreamEndpoint {
     /// Creates an open endpoint without connections.
-    pub fn new(address: SocketAddr, born_ms: f64) -> Rc<Self> {
-        Rc::new(UpstreamEndpoint { address, born_ms, availability: Rc::default(), idle: RefCell::default() })
+    pub fn new(address: SocketAddr, started_unix_ms: f64) -> Rc<Self> {
+        Rc::new(UpstreamEndpoint {
+            address,
+            started_unix_ms,
+            availability: Rc::default(),
+            idle: RefCell::default(),
+        })
     }
 
     /// Sets whether new requests may be sent to the endpoint according to discovery. Closing the endpoint closes its
