--- a/crates/proxy/src/frontend/listener.rs
+++ b/crates/proxy/src/frontend/listener.rs
@@ -34,7 +34,7 @@
 impl Frontend {
     /// Accepts one connection and serves it in a task of its own. At the limit it evicts or rejects one instead.
     pub(super) async fn accept(self: Rc<Self>, listener: &TcpListener) {
-        let limit = self.limits.max_clients(self.upstreams.in_use());
+        let limit = self.limits.max_clients(self.upstreams.sockets_in_use());
         if self.connections.open() >= limit {
             return self.accept_at_limit(listener).await;
         }
--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -152,7 +152,7 @@
 
     /// Asks the connections whose time-out has passed to close.
     fn close_expired(&self) {
-        self.metrics.connected(self.connections.open(), self.upstreams.in_use());
+        self.metrics.connected(self.connections.open(), self.upstreams.sockets_in_use());
         let now = Instant::now();
         self.connections.close_overdue(now);
         if self.draining() {
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -81,7 +81,7 @@
     }
 
     /// The number of sockets in use.
-    pub fn in_use(&self) -> usize {
+    pub fn sockets_in_use(&self) -> usize {
         self.sockets.in_use()
     }
 
