--- a/crates/proxy/src/frontend/listener.rs
+++ b/crates/proxy/src/frontend/listener.rs
@@ -56,7 +56,7 @@
             return;
         }
         warn!(%error, "accept failed");
-        self.upstreams.evict_idle();
+        self.upstreams.evict_longest_idle();
         self.connections.evict_one(EvictionAge::SpareYoung);
         sleep(ACCEPT_RETRY_DELAY).await;
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -118,7 +118,7 @@
             Ok(Err(ConnectError::Local(error))) => {
                 let backend = self.endpoint.address;
                 warn!(%backend, %error, "upstream connect failed on a local error");
-                self.pool.evict_idle(); // may free the descriptor, port or memory that was lacking
+                self.pool.evict_longest_idle(); // may free the descriptor, port or memory that was lacking
                 Err(NotSent::Withdrawn)
             }
             Ok(Err(ConnectError::NoSocket)) => Err(NotSent::Withdrawn),
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -116,7 +116,7 @@
     }
 
     /// Closes the connection that has been idle longest among all endpoints.
-    pub fn evict_idle(&self) {
+    pub fn evict_longest_idle(&self) {
         let endpoints = self.endpoints.borrow();
         let longest_idle = endpoints
             .iter()
@@ -152,7 +152,7 @@
     /// closed first.
     async fn open_connection(&self, endpoint: &UpstreamEndpoint) -> Result<Connection, ConnectError> {
         if self.sockets.is_exhausted() {
-            self.evict_idle();
+            self.evict_longest_idle();
         }
         let dial_timeout = self.dial_timeout.get();
         let permit = timeout(dial_timeout, self.sockets.acquire()).await;
