--- a/crates/proxy/src/driver/endpoints.rs
+++ b/crates/proxy/src/driver/endpoints.rs
@@ -113,7 +113,7 @@
         }
         let upstream = UpstreamEndpoint::new(address, endpoint.started_unix_ms);
         upstream.set_in_maintenance(context.balancer.is_in_maintenance(id));
-        context.upstreams.add(&upstream);
+        context.upstreams.add_endpoint(&upstream);
         if let Some(replaced) = self.upstreams.insert(id, upstream) {
             replaced.set_open(false);
         }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -86,7 +86,7 @@
     }
 
     /// Adds an endpoint, so that its idle connections are closed when they expire.
-    pub fn add(&self, endpoint: &Rc<UpstreamEndpoint>) {
+    pub fn add_endpoint(&self, endpoint: &Rc<UpstreamEndpoint>) {
         self.endpoints.borrow_mut().push(endpoint.clone());
     }
 
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -68,7 +68,7 @@
     pool: &Rc<UpstreamPool>, listener: &TcpListener, body: Bytes, state: &Rc<Cell<RequestState>>,
 ) -> JoinHandle<Option<Outcome>> {
     let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("no local address"), 0.0);
-    pool.add(&endpoint);
+    pool.add_endpoint(&endpoint);
     start_attempt_at(pool, &endpoint, body, state)
 }
 
@@ -226,7 +226,7 @@
     pool: &Rc<UpstreamPool>, listener: &TcpListener, state: &Rc<Cell<RequestState>>,
 ) -> (Rc<UpstreamEndpoint>, TcpStream) {
     let endpoint = UpstreamEndpoint::new(listener.local_addr().expect("no local address"), 0.0);
-    pool.add(&endpoint);
+    pool.add_endpoint(&endpoint);
     let attempt = start_attempt_at(pool, &endpoint, Bytes::new(), state);
     let mut idle = accept_request(listener).await;
     idle.write_all(SERVED).await.expect("write failed");
