--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -25,7 +25,7 @@
 use crate::inbox::{Answer, Arrival, Input};
 use crate::metrics::RequestTicket;
 use crate::open_ids::OpenId;
-use crate::upstream::{MessageBody, RequestBody, UpstreamRequest, remove_hop_by_hop};
+use crate::upstream::{MessageBody, RequestBody, UpstreamRequest, remove_hop_by_hop_headers};
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 /// A body that was received within this time arrived with its head.
@@ -178,7 +178,7 @@
     head: request::Parts, body: RequestBody, meta: &RequestMeta, client: &Rc<Client>,
 ) -> UpstreamRequest {
     let mut headers = head.headers;
-    remove_hop_by_hop(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     if meta.adds_forwarding_headers {
         add_forwarding_headers(&mut headers, &meta.id, client.address);
     }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -12,7 +12,7 @@
 use leadrelay_core::Outcome;
 use tokio::time::{Instant, timeout};
 
-use super::headers::remove_hop_by_hop;
+use super::headers::remove_hop_by_hop_headers;
 use super::request::MessageBody;
 use super::request_progress::RequestProgress;
 use super::response_progress::STALL_TIMEOUT;
@@ -116,7 +116,7 @@
         let mut headers = head.headers;
         // The content length in a response to HEAD is that of the body that GET would return.
         let length: Option<HeaderValue> = headers.get(header::CONTENT_LENGTH).filter(|_| is_head).cloned();
-        remove_hop_by_hop(&mut headers);
+        remove_hop_by_hop_headers(&mut headers);
         headers.extend(length.map(|length| (header::CONTENT_LENGTH, length)));
         BackendResponse { started_at, status: head.status, headers, body }
     }
--- a/crates/proxy/src/upstream/headers.rs
+++ b/crates/proxy/src/upstream/headers.rs
@@ -19,7 +19,7 @@
 ];
 
 /// Removes the hop-by-hop headers, the headers that `Connection` lists, and the content length.
-pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     for name in listed_in_connection(headers).iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -41,7 +41,7 @@
 
 pub use attempt::AttemptLimits;
 pub use endpoint::UpstreamEndpoint;
-pub use headers::remove_hop_by_hop;
+pub use headers::remove_hop_by_hop_headers;
 pub use pool::UpstreamPool;
 pub use request::{MessageBody, RequestBody, Upload, UpstreamRequest};
 pub use request_state::RequestState;
--- a/crates/proxy/src/upstream/tests/units.rs
+++ b/crates/proxy/src/upstream/tests/units.rs
@@ -14,7 +14,7 @@
 use crate::upstream::dial::ConnectError;
 use crate::upstream::endpoint::{UpstreamEndpoint, choose_idle};
 use crate::upstream::guard::SendGuard;
-use crate::upstream::headers::remove_hop_by_hop;
+use crate::upstream::headers::remove_hop_by_hop_headers;
 use crate::upstream::keep_alive::KeepAlive;
 use crate::upstream::request::UpstreamRequest;
 use crate::upstream::request_framing::{RequestFraming, UNKNOWN_LENGTH};
@@ -155,7 +155,7 @@
     headers.insert("x-own", HeaderValue::from_static("1"));
     headers.insert("x-kept", HeaderValue::from_static("2"));
     headers.insert("te", HeaderValue::from_static("trailers"));
-    remove_hop_by_hop(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     assert_eq!(headers.len(), 1);
     assert!(headers.contains_key("x-kept"));
 }
