--- a/crates/proxy/src/driver/attempt_report.rs
+++ b/crates/proxy/src/driver/attempt_report.rs
@@ -28,7 +28,7 @@
     /// Reports the end.
     pub fn send(&mut self, outcome: Outcome, reply: Option<UpstreamResponse>) {
         self.reported = true;
-        let ended_at = reply.as_ref().map_or_else(Instant::now, |reply| reply.started_at);
+        let ended_at = reply.as_ref().map_or_else(Instant::now, |reply| reply.first_byte_at);
         let latency = ended_at.saturating_duration_since(self.sent_at.get()).as_secs_f64() * 1000.0;
         if outcome != Outcome::Served {
             info!(
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -193,14 +193,14 @@
         &self, exchange: Exchange, report: impl FnOnce(Outcome, Option<UpstreamResponse>),
     ) -> bool {
         let Exchange { outcome, response, reusable } = exchange;
-        let Some(BackendResponse { started_at, status, headers, body }) = response else {
+        let Some(BackendResponse { first_byte_at, status, headers, body }) = response else {
             report(outcome, None);
             return reusable;
         };
         match body {
             ResponseBody::Complete(bytes) => {
                 let body = Either::Left(Full::new(bytes));
-                report(outcome, Some(UpstreamResponse { started_at, status, headers, body }));
+                report(outcome, Some(UpstreamResponse { first_byte_at, status, headers, body }));
                 reusable
             }
             // The proxy does not wait for the rest of an error response that is too long to buffer.
@@ -213,7 +213,7 @@
                 let length = rest.size_hint().exact().map(|rest| read.len() as u64 + rest);
                 let (sender, stream) = BodyStream::new(length);
                 let body = Either::Right(stream);
-                report(outcome, Some(UpstreamResponse { started_at, status, headers, body }));
+                report(outcome, Some(UpstreamResponse { first_byte_at, status, headers, body }));
                 if !reusable {
                     return false;
                 }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -36,7 +36,7 @@
 /// A backend's response, with as much of its body as is buffered.
 pub(super) struct BackendResponse {
     /// When the first bytes of the response arrived.
-    pub(super) started_at: Instant,
+    pub(super) first_byte_at: Instant,
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: ResponseBody,
@@ -73,7 +73,7 @@
 ) -> Result<Exchange, ExchangeError> {
     let is_head = request.method() == Method::HEAD;
     let response = sender.send_request(request).await?;
-    let started_at = progress.response.started_at().unwrap_or_else(Instant::now);
+    let first_byte_at = progress.response.first_byte_at().unwrap_or_else(Instant::now);
     let (head, body) = response.into_parts();
     // In the platform's protocol a backend runs a request only after its last byte, so a response with status 200
     // before that byte belongs to an earlier request.
@@ -85,14 +85,14 @@
     let is_complete = matches!(body, ResponseBody::Complete(_));
     let reusable = is_complete && !is_early && head.status != StatusCode::SWITCHING_PROTOCOLS;
     if is_served(head.status, is_plain_http) {
-        let response = BackendResponse::new(started_at, head, body, is_head);
+        let response = BackendResponse::new(first_byte_at, head, body, is_head);
         return Ok(Exchange { outcome: Outcome::Served, response: Some(response), reusable: true });
     }
     if is_rejection(head.status, &head.headers) {
         return Ok(Exchange { outcome: Outcome::Rejected, response: None, reusable });
     }
     let is_passed_on = is_plain_http && reusable;
-    let response = is_passed_on.then(|| BackendResponse::new(started_at, head, body, is_head));
+    let response = is_passed_on.then(|| BackendResponse::new(first_byte_at, head, body, is_head));
     Ok(Exchange { outcome: Outcome::Error, response, reusable })
 }
 
@@ -112,13 +112,13 @@
 }
 
 impl BackendResponse {
-    fn new(started_at: Instant, head: response::Parts, body: ResponseBody, is_head: bool) -> Self {
+    fn new(first_byte_at: Instant, head: response::Parts, body: ResponseBody, is_head: bool) -> Self {
         let mut headers = head.headers;
         // The content length in a response to HEAD is that of the body that GET would return.
         let length: Option<HeaderValue> = headers.get(header::CONTENT_LENGTH).filter(|_| is_head).cloned();
         remove_hop_by_hop_headers(&mut headers);
         headers.extend(length.map(|length| (header::CONTENT_LENGTH, length)));
-        BackendResponse { started_at, status: head.status, headers, body }
+        BackendResponse { first_byte_at, status: head.status, headers, body }
     }
 }
 
--- a/crates/proxy/src/upstream/response.rs
+++ b/crates/proxy/src/upstream/response.rs
@@ -9,7 +9,7 @@
 /// A backend's response as the driver receives it.
 pub struct UpstreamResponse {
     /// When the first bytes of the response arrived. Latency is measured up to this time, however long the rest takes.
-    pub started_at: Instant,
+    pub first_byte_at: Instant,
     /// The status code.
     pub status: StatusCode,
     /// The end-to-end headers, without hop-by-hop headers.
--- a/crates/proxy/src/upstream/response_progress.rs
+++ b/crates/proxy/src/upstream/response_progress.rs
@@ -19,7 +19,7 @@
     /// request, or the last ones ended with a blank line.
     last_partial_read_at: Cell<Option<Instant>>,
     /// When the first bytes of the most recent response head arrived.
-    started_at: Cell<Option<Instant>>,
+    first_byte_at: Cell<Option<Instant>>,
     /// Whether the request was not completely written at that time.
     is_early: Cell<bool>,
     /// Notified when bytes of the response have been read.
@@ -38,15 +38,15 @@
         let now = Instant::now();
         let may_be_partial = !bytes.ends_with(HEAD_END);
         if self.last_partial_read_at.replace(may_be_partial.then_some(now)).is_none() {
-            self.started_at.set(Some(now));
+            self.first_byte_at.set(Some(now));
             self.is_early.set(!request_complete);
         }
         self.bytes_read.notify_one();
     }
 
     /// When the first bytes of the most recent response head arrived.
-    pub(super) fn started_at(&self) -> Option<Instant> {
-        self.started_at.get()
+    pub(super) fn first_byte_at(&self) -> Option<Instant> {
+        self.first_byte_at.get()
     }
 
     /// Whether the most recent response head started to arrive before the request was completely written.
