--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -50,7 +50,7 @@
 
 /// Why a request was not handed to any connection.
 enum NotSent {
-    /// No connection to the backend was established in time.
+    /// No connection to the backend could be established.
     NoConnection,
     /// The proxy gave up the attempt: the endpoint is closed, the request no longer needs an attempt, or this machine
     /// can't open a connection. This does not count against the backend.
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -286,7 +286,7 @@
             assert_eq!(
                 attempt.await.expect("attempt panicked"),
                 Some(Outcome::Rejected),
-                "response of the new one"
+                "the response of the new connection"
             );
             assert!(backend_end.take().is_none(), "the backend has acted");
             if let Some(mut idle) = kept_open.take() {
--- a/crates/proxy/src/upstream/tests/units.rs
+++ b/crates/proxy/src/upstream/tests/units.rs
@@ -67,6 +67,7 @@
     }
 }
 
+/// Guards against missing the end of a head, or counting body bytes wrongly, when a request is written in two parts.
 #[test]
 fn request_is_complete_with_its_last_byte_wherever_it_is_split() {
     let text = b"POST /x HTTP/1.1\r\nA: b\r\n\r\n\r\n\r\nbody";
@@ -79,6 +80,8 @@
     }
 }
 
+/// Guards against sending a request whose endpoint has closed, whose client has left or which already has a response
+/// by the time that its connection is open.
 #[test]
 fn first_byte_needs_an_open_endpoint_and_a_pending_request() {
     let closed = StartedRequest::new(0);
@@ -101,6 +104,7 @@
     assert!(disconnected.is_denied(), "the client has disconnected");
 }
 
+/// Guards against sending a request by an endpoint list that expired while the connection was being opened.
 #[test]
 fn first_byte_needs_a_valid_endpoint_list() {
     let request = StartedRequest::new(0);
@@ -116,6 +120,8 @@
     assert!(request.progress.may_write(), "a started request may be finished");
 }
 
+/// Guards against missing a violation after a process pause of 200 ms, which is above the tolerated 150 ms, and against
+/// counting an expiry without a pause as a violation.
 #[test]
 fn first_byte_past_the_guard_is_counted_as_a_violation() {
     let request = StartedRequest::new(0);
@@ -148,6 +154,7 @@
     assert_eq!(violations(&stale_list), [Invariant::ListCurrent]);
 }
 
+/// Guards against forwarding hop-by-hop headers, including those that only `Connection` lists.
 #[test]
 fn hop_by_hop_headers_are_removed() {
     let mut headers = HeaderMap::new();
@@ -160,6 +167,8 @@
     assert!(headers.contains_key("x-kept"));
 }
 
+/// Guards against closing idle connections when backends reject because their queues are full, which also affects
+/// reused connections.
 #[test]
 fn keep_alive_is_not_shortened_if_reused_connections_are_rejected_too() {
     let keep_alive = KeepAlive::new(Duration::from_secs(40));
@@ -170,6 +179,7 @@
     assert_eq!(keep_alive.timeout(), Duration::from_secs(40));
 }
 
+/// Guards against reusing a connection on which a second response may still arrive.
 #[test]
 fn connection_used_last_is_not_reused_at_once_while_there_is_another() {
     let chosen = |idle_ms: &[u64]| choose_idle(idle_ms.iter().map(|ms| Duration::from_millis(*ms)));
@@ -181,6 +191,7 @@
     assert_eq!(chosen(&[15, 6, 5]), Some(0));
 }
 
+/// Guards against counting a chunked request as complete before its last chunk is written, or never.
 #[test]
 fn chunked_request_is_complete_with_its_last_chunk() {
     let framing = RequestFraming::default();
@@ -193,6 +204,7 @@
     assert!(framing.is_complete());
 }
 
+/// Guards against counting a lack of resources on this machine as a failure of the backend.
 #[test]
 fn connect_error_is_local_only_if_this_machine_lacks_something() {
     let connect_error = |number| ConnectError::from(io::Error::from_raw_os_error(number));
