--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -1,42 +1,42 @@
-//! What a proxy is to do, as returned by [`Balancer::handle`](crate::Balancer::handle).
+//! The actions that [`Balancer::handle`](crate::Balancer::handle) returns for the proxy to carry out.
 
 use crate::ids::{CallId, EndpointId, Millis, RequestId};
 
-/// Why a call to discovery is given up.
+/// The reason for cancelling a call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelReason {
-    /// The connection was not established in time.
+    /// The connection was not established within the connect timeout.
     ConnectTimeout,
-    /// No answer came in time.
+    /// The call returned neither a list nor an update within the call timeout.
     AnswerTimeout,
-    /// The watch has fallen silent.
+    /// The open watch has sent nothing for longer than the silence timeout.
     Silent,
-    /// Changes that don't follow the version held here.
+    /// The changes received do not follow the version of the list that this proxy has.
     VersionGap,
-    /// Discovery has moved.
+    /// Discovery has moved to another address.
     Moved,
 }
 
-/// Why a request is rejected.
+/// The reason for rejecting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RejectionReason {
-    /// No response could be had any more while it is of use.
+    /// A response can no longer arrive early enough to be useful to the client.
     TooLate,
-    /// More requests are open than may be, and others have more weight.
+    /// The limit of open requests is exceeded, and the other requests have more weight.
     Overload,
     /// The endpoint list may be out of date.
     StaleList,
-    /// Its attempts have failed, and no further one is allowed.
+    /// The attempts have failed, and no further attempt is allowed.
     AttemptsExhausted,
-    /// A send would have broken an invariant.
+    /// Sending the request would have violated an invariant.
     Violation,
 }
 
 impl RejectionReason {
-    /// How many there are.
+    /// The number of rejection reasons.
     pub const COUNT: usize = RejectionReason::Violation as usize + 1;
 
-    /// All of them.
+    /// All rejection reasons, in the order of declaration.
     pub const ALL: [RejectionReason; RejectionReason::COUNT] = [
         RejectionReason::TooLate,
         RejectionReason::Overload,
@@ -45,7 +45,7 @@
         RejectionReason::Violation,
     ];
 
-    /// Its name in metrics and logs.
+    /// The name of the reason in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             RejectionReason::TooLate => "too_late",
@@ -57,52 +57,53 @@
     }
 }
 
-/// What a proxy is to do, in this order.
+/// An action for the proxy to carry out. Actions have to be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt.
+    /// Sends an attempt of a request to an endpoint.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint that receives the attempt.
         endpoint: EndpointId,
-        /// When to give the attempt up; `None` is the client's timeout.
+        /// The duration after which the attempt is cancelled; `None` means the client's timeout.
         timeout: Option<Millis>,
-        /// The attempt must not start after this: a repeat would no longer be deduplicated.
+        /// The time after which the attempt must not start, because a repeat would no longer be deduplicated.
         start_by: Option<Millis>,
     },
-    /// Final answer: rejected; a retry by the client does no harm.
+    /// Answers a request with a rejection, after which the client can safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should wait before it tries again.
+        /// How long the client should wait before it retries.
         retry_after: Option<Millis>,
-        /// Why.
+        /// The reason for the rejection.
         reason: RejectionReason,
     },
-    /// Final answer: failed; the request may have been executed.
+    /// Answers a request with a failure. The request may have been executed.
     Fail(RequestId),
-    /// Give [`Event::Timer`](crate::Event::Timer) back at a time.
+    /// Sets a timer, which is returned as [`Event::Timer`](crate::Event::Timer) when it expires.
     Timer {
-        /// What to give back.
+        /// The token that identifies the timer in the event.
         token: u64,
-        /// When.
+        /// The time at which the timer expires.
         at: Millis,
     },
-    /// Send a message of at most 256 bytes to every other proxy.
+    /// Sends a gossip message of at most 256 bytes to every other proxy.
     Broadcast(Vec<u8>),
-    /// Open a watch of the endpoint list, at the present address of discovery.
+    /// Opens a watch of the endpoint list at the current address of discovery.
     Subscribe {
-        /// The number of the call.
+        /// The number of the new call.
         call: CallId,
-        /// The version held here, after which changes are wanted; `None` for the complete list.
+        /// The version of the list that this proxy has: the watch starts with the changes after it. `None` requests the
+        /// complete list.
         after: Option<u64>,
     },
-    /// Give up a call to discovery; nothing more is wanted of it.
+    /// Cancels a call to discovery; anything that still arrives for the call is ignored.
     Unsubscribe {
         /// The call.
         call: CallId,
-        /// Why.
+        /// The reason for the cancellation.
         reason: CancelReason,
     },
 }
--- a/crates/core/src/discovery/calls.rs
+++ b/crates/core/src/discovery/calls.rs
@@ -1,4 +1,5 @@
-//! When a call to discovery is given up, when the next one is made, and until when the list may be used.
+//! Timing rules for discovery: when to cancel a call, when to make the next call, and how long the endpoint list may be
+//! used.
 
 use super::phase::Phase;
 use super::subscription::Subscription;
@@ -7,39 +8,46 @@
 use crate::schedule::TICK;
 use crate::settings::{DiscoveryMode, Settings};
 
-/// A connection that is not established by then never will be: that needs no turn.
+/// Longest time for establishing a connection. Connections are accepted without queueing for the service, so one that
+/// takes longer will not be established at all.
 const CONNECT_TIMEOUT: Millis = 1000.0;
-/// Timeout of a whole call, up to its first line. A call that waits its turn is silent meanwhile: given up sooner, it
-/// would be served for nothing, and an overbooked service would answer nobody in time.
+/// Longest time from the start of a call to the first line of its response. A call receives nothing while it waits in
+/// the queue of the service. With a shorter timeout, an overloaded service would spend its time on calls that have
+/// already been cancelled, and would answer none of them in time.
 const CALL_TIMEOUT: Millis = 3000.0;
-/// A watch that is silent for longer than its heartbeats, one each 2 s, is broken.
+/// Longest silence of a watch. Heartbeats arrive every 2 s, so a watch that is silent for longer is broken.
 const SILENCE_TIMEOUT: Millis = 3000.0;
-/// Sends end by so much before the last moment. Discovery writes a change to one watch after another, so a heartbeat on
-/// one does not say that it has no change that others have got; and the heartbeat and the request take their time.
+/// The endpoint list stops being valid this long before the latest permitted time of a send. Discovery writes a change
+/// to one watch after another, so a heartbeat on one watch does not prove that no other watch has received a change.
+/// The margin also covers the transit times of the heartbeat and of the request.
 const STALE_MARGIN: Millis = 400.0;
-/// Calls that failed in a row beyond which the backoff no longer grows.
+/// Number of doublings after which the backoff no longer grows.
 const MAX_DOUBLINGS: u32 = 16;
-/// Longest backoff while nobody accepts the calls, which costs nobody anything.
+/// Longest backoff while connections are refused: such calls put no load on the service.
 const MAX_BACKOFF_UNREACHABLE: Millis = 1000.0;
 
-/// A call that may extend the validity of the list is made this long before that ends: it starts with a tick, and its
-/// result takes a moment.
+/// A call that may extend the validity of the list is scheduled this long before the validity ends: calls start on a
+/// tick, and the result takes a moment to arrive.
 const REVALIDATION_LEAD: Millis = 2.0 * TICK;
-/// Requests are held for this long after the start of a call that may extend the validity of a stale list.
+/// Longest time, from the start of a call that may extend the validity of a stale list, for which requests wait for its
+/// result.
 const REVALIDATION_TIMEOUT: Millis = 250.0;
 
-/// Bounds of the wait after a failed call. The bound doubles with each call that fails in a row.
+/// Upper bounds of the random delay after a failed call: `base` after the first failure, doubled with each consecutive
+/// failure, up to `max`.
 struct Backoff {
     base: Millis,
     max: Millis,
 }
 
-/// The longest one leaves room for three calls within the 6 s after which a change counts as notified.
+/// Backoff where lists are requested from the service. Its maximum leaves room for three calls within the 6 s after
+/// which a change counts as notified.
 const BACKOFF_ON_REQUEST: Backoff = Backoff { base: 500.0, max: 2000.0 };
-/// Where lists are pushed by an agent that has no other callers, and with less time.
+/// Backoff where an agent pushes the lists. It is shorter because the agent has no other callers and less time remains
+/// before a change counts as notified.
 const BACKOFF_PUSHED: Backoff = Backoff { base: 50.0, max: 500.0 };
 
-/// Why the open call is to be given up, if it is.
+/// The reason to cancel the open call, if one of its timeouts has expired.
 pub(crate) fn overdue(phase: Phase, now: Millis) -> Option<CancelReason> {
     let (deadline, reason) = match phase {
         Phase::Disconnected { .. } => return None,
@@ -50,9 +58,9 @@
     (now >= deadline).then_some(reason)
 }
 
-/// When the next call is made after a failed one: exponential backoff with full jitter, of which `uniform` in [0, 1) is
-/// the random part. A service with more callers than it can answer is called less often the longer that lasts, and
-/// never by all proxies at once. A list about to become stale is asked for sooner.
+/// The time of the next call after a failed one: exponential backoff with full jitter, where `uniform` is a random
+/// number in [0, 1). An overloaded service is called less often the longer the overload lasts, and never by all proxies
+/// at once. The call is made earlier if the list would otherwise become stale.
 pub(crate) fn retry_at(
     now: Millis, subscription: &Subscription, settings: &Settings, uniform: f64,
 ) -> Millis {
@@ -64,7 +72,8 @@
     let max = if unreachable { backoff.max.min(MAX_BACKOFF_UNREACHABLE) } else { backoff.max };
     let doublings = subscription.failures().saturating_sub(1).min(MAX_DOUBLINGS);
     let bound = (backoff.base * f64::from(1u32 << doublings)).min(max);
-    // Once it is too late for a call in time, more calls would only keep the service busy.
+    // Let the next call complete before the list becomes stale. Once there is no time left for that, earlier calls
+    // would only add load to the service.
     let time_left = list_valid_until(subscription, settings) - CALL_TIMEOUT - now;
     let bound = if time_left > backoff.base { bound.min(time_left) } else { bound };
     let retry_at = now + bound * uniform;
@@ -76,15 +85,15 @@
     }
 }
 
-/// Whether one more refused call shows that the list is still valid: an agent that pushes lists learns nothing while it
-/// does not run.
+/// Whether another refused connection would extend the validity of the list: an agent that pushes lists receives no
+/// changes while it is not running, so a refusal shows that the proxy has missed none until then.
 pub(crate) fn refusal_extends_validity(subscription: &Subscription, settings: &Settings) -> bool {
     settings.discovery == DiscoveryMode::Pushed
         && settings.limits.drain_grace > STALE_MARGIN
         && subscription.is_unreachable()
 }
 
-/// Whether the result of the open call may still come in time for the requests that wait for it.
+/// Whether requests still wait for the result of the open call, which may extend the validity of a stale list.
 pub(crate) fn is_revalidating(phase: Phase, now: Millis) -> bool {
     match phase {
         Phase::Connecting { since, .. } | Phase::Waiting { since, .. } => now < since + REVALIDATION_TIMEOUT,
@@ -92,8 +101,8 @@
     }
 }
 
-/// Until when requests may be sent by the list that is held: no change that it lacks can have counted as notified for
-/// longer than the drain grace before that.
+/// The time until which requests may be sent on the basis of the current list. Until then, no change that is missing
+/// from the list has counted as notified for longer than the drain grace.
 pub(crate) fn list_valid_until(subscription: &Subscription, settings: &Settings) -> Millis {
     let Some(bounds) = &settings.notification_bounds else { return Millis::INFINITY };
     let limits = &settings.limits;
--- a/crates/core/src/discovery/mod.rs
+++ b/crates/core/src/discovery/mod.rs
@@ -1,5 +1,4 @@
-//! What is known of discovery: which call is open, when calls are made and given up, and for how long the endpoint list
-//! may be used.
+//! The subscription to the endpoint list: its state, the timing of calls to discovery, and the validity of the list.
 
 mod calls;
 mod phase;
--- a/crates/core/src/discovery/phase.rs
+++ b/crates/core/src/discovery/phase.rs
@@ -2,21 +2,21 @@
 
 use crate::ids::{CallId, Millis};
 
-/// Where the subscription stands.
+/// The phase of the subscription to the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Phase {
-    /// No call is open; the next one is made then.
+    /// No call is open. The next call is made at `retry_at`.
     Disconnected { retry_at: Millis },
-    /// A connection is being opened.
+    /// A call has started at `since`, and its connection is being established.
     Connecting { call: CallId, since: Millis },
-    /// A call has been made and has not been answered yet.
+    /// The connection of the call that started at `since` is established, but no list or update has arrived yet.
     Waiting { call: CallId, since: Millis },
-    /// A watch is open and the list is held as of its last line.
+    /// A watch is open, and the list is up to date as of the last line, read at `last_read_at`.
     Synchronized { call: CallId, last_read_at: Millis },
 }
 
 impl Phase {
-    /// The call that is open.
+    /// The open call, if any.
     pub fn call(self) -> Option<CallId> {
         match self {
             Phase::Disconnected { .. } => None,
--- a/crates/core/src/discovery/subscription.rs
+++ b/crates/core/src/discovery/subscription.rs
@@ -1,9 +1,9 @@
 //! The state of the subscription to the endpoint list.
 //!
-//! This is the only owner of what is known of discovery: which call is open, which version of the list is held, and how
-//! complete that is. The transport opens and gives up calls as it is told and reports what it sees; it keeps nothing of
-//! its own. Nothing is decided here: `calls.rs` decides when a call is made or given up, and for how long the list may
-//! be used.
+//! [`Subscription`] is the only owner of the discovery state: the open call, the version of the current list, and the
+//! time up to which that list is complete. The transport is stateless: it opens and cancels calls on request and
+//! reports what it receives. The timing rules are in `calls.rs`: when a call is made or cancelled, and how long the
+//! list may be used.
 
 use super::phase::Phase;
 use crate::actions::CancelReason;
@@ -11,49 +11,52 @@
 use crate::ids::{CallId, Millis};
 use crate::settings::{DiscoveryMode, NotificationBounds};
 
-/// A watch at an address that discovery has left. It counts until the new address has sent its list.
+/// A watch at the previous address of discovery. It remains in use until the new address has sent its list.
 #[derive(Clone, Copy, Debug)]
 struct FormerWatch {
     call: CallId,
     version: Option<u64>,
 }
 
-/// What becomes of an update.
+/// The treatment of an update received from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// It is new.
+    /// The update is newer than the current list and is applied.
     Apply,
-    /// What is held is still the latest.
+    /// The update confirms that the current list is still the latest.
     Unchanged,
-    /// It answers a call that has been given up, or is older than what is held.
+    /// The update belongs to a cancelled call, or is older than the current list.
     Ignore,
-    /// It does not follow what is held: the call is of no more use.
+    /// The update does not follow the version of the current list, so the call has to be cancelled.
     Reject,
 }
 
-/// The state of the subscription.
+/// The state of the subscription to the endpoint list.
 #[derive(Debug)]
 pub(crate) struct Subscription {
     phase: Phase,
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls.
     failures: u32,
-    /// Whether the last of them was not even accepted.
+    /// Whether the last failed call was not accepted at all.
     unreachable: bool,
-    /// Whether a call has sent something that can't be read since the list was last received.
-    malformed: bool,
-    /// Whether the open call has sent heartbeats but no list.
-    empty_answer: bool,
-    former: Option<FormerWatch>,
-    calls: u64,
+    /// Whether malformed data has arrived since the list was last received.
+    received_malformed: bool,
+    /// Whether the open call has received heartbeats but no list.
+    only_heartbeats: bool,
+    former_watch: Option<FormerWatch>,
+    /// Number of calls opened so far.
+    calls_opened: u64,
+    /// The version of the current list; `None` if the next call has to request the complete list.
     version: Option<u64>,
-    /// When discovery last sent the list that is held, or said that it is still the latest.
+    /// When discovery last sent the current list, or confirmed that it is still the latest.
     confirmed_at: Option<Millis>,
-    /// Every change that discovery could have sent before is known.
-    complete_to: Millis,
-    /// Since when no watch has been open, as far as discovery could be reached.
+    /// The time up to which the current list is complete: it contains every change that could have been sent before.
+    complete_until: Millis,
+    /// The time from which no watch has been open although discovery could have been reached.
     unwatched_since: Millis,
-    /// An earlier time at which changes count as notified that may be unknown here, until the list is received anew.
-    notified_by: Option<Millis>,
+    /// An upper bound on the time from which changes missing from the current list count as notified. It applies until
+    /// the list is next received.
+    notification_bound: Option<Millis>,
 }
 
 impl Subscription {
@@ -62,74 +65,74 @@
             phase: Phase::Disconnected { retry_at: 0.0 },
             failures: 0,
             unreachable: false,
-            malformed: false,
-            empty_answer: false,
-            former: None,
-            calls: 0,
+            received_malformed: false,
+            only_heartbeats: false,
+            former_watch: None,
+            calls_opened: 0,
             version: None,
             confirmed_at: None,
-            complete_to: 0.0,
+            complete_until: 0.0,
             unwatched_since: 0.0,
-            notified_by: None,
+            notification_bound: None,
         }
     }
 
-    /// The process has started: the list that it remembers is taken for true as of now.
+    /// Handles the start of the process: a list cached by an earlier process counts as complete up to now.
     pub fn start(&mut self, now: Millis) {
-        self.complete_to = now;
+        self.complete_until = now;
         self.unwatched_since = now;
     }
 
-    /// Where the subscription stands.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Calls that failed in a row.
+    /// Number of consecutive failed calls.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// Whether the last call was not even accepted.
+    /// Whether the last failed call was not accepted at all.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable
     }
 
-    /// The call that is open at the present address.
+    /// The open call at the current address of discovery.
     pub fn call(&self) -> Option<CallId> {
         self.phase.call()
     }
 
-    /// The version of the current list.
+    /// The version of the current list; `None` if the complete list has to be received first.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// When discovery last sent the list that is held, or said that it is still the latest; `None` if it has sent none.
+    /// When discovery last sent or confirmed the current list; `None` before the first list.
     pub fn confirmed_at(&self) -> Option<Millis> {
         self.confirmed_at
     }
 
-    /// Whether a watch is open that has sent its list.
+    /// Whether a watch is open and has sent its list.
     pub fn is_synchronized(&self) -> bool {
         matches!(self.phase, Phase::Synchronized { .. })
     }
 
-    /// Starts a call; returns its number and the version after which changes are wanted.
+    /// Starts a call. Returns its number and the version after which it requests changes (`None`: the complete list).
     pub fn open(&mut self, now: Millis) -> (CallId, Option<u64>) {
-        self.calls += 1;
-        let call = CallId(self.calls);
+        self.calls_opened += 1;
+        let call = CallId(self.calls_opened);
         self.phase = Phase::Connecting { call, since: now };
-        self.empty_answer = false;
+        self.only_heartbeats = false;
         (call, self.version)
     }
 
-    /// The next call is made then.
+    /// Schedules the next call for `retry_at`.
     pub fn schedule_retry(&mut self, retry_at: Millis) {
         self.phase = Phase::Disconnected { retry_at };
     }
 
-    /// The connection of a call is established.
+    /// Records that the connection of a call is established.
     pub fn connected(&mut self, connected: CallId) {
         if let Phase::Connecting { call, since } = self.phase
             && call == connected
@@ -138,9 +141,9 @@
         }
     }
 
-    /// What becomes of an update; changes nothing.
+    /// Determines how to treat an update, without changing any state.
     pub fn admission(&self, call: CallId, version: u64, complete: bool) -> Admission {
-        if let Some(former) = self.former.filter(|former| former.call == call) {
+        if let Some(former) = self.former_watch.filter(|former| former.call == call) {
             let is_newer = former.version.is_none_or(|current| version > current);
             return if is_newer { Admission::Apply } else { Admission::Ignore };
         }
@@ -156,8 +159,8 @@
         if version >= current {
             return Admission::Apply;
         }
-        // A lower version: on an open watch it is outdated. At the start of one it means that discovery has started its
-        // versions anew; only a complete list means anything then.
+        // A lower version on a synchronized watch is outdated. At the start of a watch it means that discovery has
+        // restarted its version numbers; changes then have no base, and only a complete list can be applied.
         match (self.is_synchronized(), complete) {
             (true, _) => Admission::Ignore,
             (false, true) => Admission::Apply,
@@ -165,26 +168,27 @@
         }
     }
 
-    /// Whether a heartbeat of a call says that the current list is still the latest. As the first line of an answer it
-    /// says nothing of what has changed before; if no more comes of the call, the complete list is to be asked for.
+    /// Handles a heartbeat of a call; returns whether it confirms that the current list is still the latest. A
+    /// heartbeat that is the first line of a response does not rule out earlier changes. If the call then times out
+    /// without sending a list, the next call requests the complete list.
     pub fn confirms(&mut self, call: CallId) -> bool {
-        if self.former.is_some_and(|former| former.call == call) {
+        if self.former_watch.is_some_and(|former| former.call == call) {
             return true;
         }
         if self.call() != Some(call) {
             return false;
         }
         let synchronized = self.is_synchronized();
-        self.empty_answer = !synchronized;
+        self.only_heartbeats = !synchronized;
         synchronized
     }
 
-    /// A call has sent the list up to a version; `None` if nothing has changed. Returns the watch at the former address
-    /// if it is not needed any longer.
+    /// Records that a call has brought the list up to a version; `None` means that nothing has changed. Returns the
+    /// call of the watch at the previous address if that watch is no longer needed.
     pub fn received(&mut self, call: CallId, read_at: Millis, version: Option<u64>) -> Option<CallId> {
-        self.complete_to = self.complete_to.max(read_at);
+        self.complete_until = self.complete_until.max(read_at);
         self.confirmed_at = Some(read_at);
-        if let Some(former) = self.former.as_mut().filter(|former| former.call == call) {
+        if let Some(former) = self.former_watch.as_mut().filter(|former| former.call == call) {
             former.version = version.or(former.version);
             return None;
         }
@@ -192,16 +196,16 @@
         self.phase = Phase::Synchronized { call, last_read_at: read_at };
         self.failures = 0;
         self.unreachable = false;
-        self.malformed = false;
-        self.notified_by = None;
-        self.former.take().map(|former| former.call)
+        self.received_malformed = false;
+        self.notification_bound = None;
+        self.former_watch.take().map(|former| former.call)
     }
 
-    /// A call has ended by itself; whether it was the one at the present address.
+    /// Records that a call has ended without being cancelled. Returns whether it was the call at the current address.
     pub fn ended(&mut self, call: CallId, at: Millis, end: CallEnd) -> bool {
-        if self.former.is_some_and(|former| former.call == call) {
-            self.former = None;
-            self.watch_ended(at);
+        if self.former_watch.is_some_and(|former| former.call == call) {
+            self.former_watch = None;
+            self.record_watch_end(at);
             return false;
         }
         if self.call() != Some(call) {
@@ -209,47 +213,47 @@
         }
         match end {
             CallEnd::Unreachable => {
-                // Nobody was there to have a change: what is held was complete until then.
-                self.watch_ended(at);
-                self.notified_by = self.notified_by.map(|by| by.max(at));
+                // Discovery was down and could not have sent a change, so the current list was complete until then.
+                self.record_watch_end(at);
+                self.notification_bound = self.notification_bound.map(|bound| bound.max(at));
             }
             CallEnd::Malformed => {
-                // The update that can't be read counts as notified from now on. A watch that resumes makes up for it,
-                // and if that can't be read either, the complete list.
-                if std::mem::replace(&mut self.malformed, true) {
+                // A malformed update counts as notified from now on. The next watch resumes after the current version,
+                // which repeats the lost update. If malformed data arrives again, the complete list is requested.
+                if std::mem::replace(&mut self.received_malformed, true) {
                     self.version = None;
                 }
                 self.notified_by(at);
             }
-            CallEnd::Closed if self.is_synchronized() => self.watch_ended(at),
+            CallEnd::Closed if self.is_synchronized() => self.record_watch_end(at),
             CallEnd::Closed => {}
         }
-        self.failed(end == CallEnd::Unreachable);
+        self.record_failure(end == CallEnd::Unreachable);
         true
     }
 
-    /// The call at the present address is given up; returns its number.
+    /// Cancels the open call at the current address; returns its number.
     pub fn cancel(&mut self, now: Millis, reason: CancelReason) -> Option<CallId> {
         let call = self.call()?;
         match reason {
             CancelReason::VersionGap => self.version = None,
             CancelReason::Silent => self.unwatched_since = now,
-            CancelReason::AnswerTimeout if std::mem::take(&mut self.empty_answer) => self.version = None,
+            CancelReason::AnswerTimeout if std::mem::take(&mut self.only_heartbeats) => self.version = None,
             CancelReason::ConnectTimeout | CancelReason::AnswerTimeout | CancelReason::Moved => {}
         }
-        self.failed(false);
+        self.record_failure(false);
         Some(call)
     }
 
-    /// Discovery has another address, and what it sends counts as notified from `notified_by` on. Returns the call that
-    /// is of no more use.
+    /// Handles a move of discovery to another address, whose changes count as notified from `notified_by` on. Returns
+    /// the call that has to be cancelled, if any.
     pub fn moved(&mut self, now: Millis, notified_by: Millis) -> Option<CallId> {
         let call = self.call();
         let watch = call.filter(|_| self.is_synchronized());
         let abandoned = match watch {
             Some(call) => {
                 let former = FormerWatch { call, version: self.version };
-                self.former.replace(former).map(|former| former.call)
+                self.former_watch.replace(former).map(|former| former.call)
             }
             None => call,
         };
@@ -261,32 +265,33 @@
         abandoned
     }
 
-    /// From then on changes count as notified that may be unknown here, until the list is received anew.
+    /// Bounds the time from which changes missing from the current list count as notified: it is at most `at`, until
+    /// the list is next received.
     pub fn notified_by(&mut self, at: Millis) {
-        self.notified_by = Some(self.notified_by.map_or(at, |by| by.min(at)));
+        self.notification_bound = Some(self.notification_bound.map_or(at, |bound| bound.min(at)));
     }
 
-    /// When a change that is unknown here may first count as notified.
+    /// The earliest time at which a change missing from the current list may count as notified.
     pub fn notified_at(
         &self, discovery: DiscoveryMode, bounds: &NotificationBounds, without_watch: Millis,
     ) -> Millis {
-        let is_watched = self.is_synchronized() || self.former.is_some();
-        let missed = self.complete_to + bounds.after_change;
-        let notified = match (is_watched, discovery) {
-            (true, _) => missed,
-            (false, DiscoveryMode::OnRequest) => missed.min(self.complete_to + without_watch),
-            (false, DiscoveryMode::Pushed) => missed.min(self.unwatched_since),
+        let is_watched = self.is_synchronized() || self.former_watch.is_some();
+        let after_change = self.complete_until + bounds.after_change;
+        let earliest = match (is_watched, discovery) {
+            (true, _) => after_change,
+            (false, DiscoveryMode::OnRequest) => after_change.min(self.complete_until + without_watch),
+            (false, DiscoveryMode::Pushed) => after_change.min(self.unwatched_since),
         };
-        self.notified_by.map_or(notified, |by| by.min(notified))
+        self.notification_bound.map_or(earliest, |bound| bound.min(earliest))
     }
 
-    fn watch_ended(&mut self, at: Millis) {
-        self.complete_to = self.complete_to.max(at);
+    fn record_watch_end(&mut self, at: Millis) {
+        self.complete_until = self.complete_until.max(at);
         self.unwatched_since = self.unwatched_since.max(at);
     }
 
-    fn failed(&mut self, unreachable: bool) {
-        // Failures while discovery was down say nothing of how busy it is once it is back.
+    fn record_failure(&mut self, unreachable: bool) {
+        // Failures while discovery was down are no evidence of overload after it has recovered.
         let was_down = self.unreachable && !unreachable;
         self.failures = if was_down { 1 } else { self.failures + 1 };
         self.unreachable = unreachable;
--- a/crates/core/src/endpoint.rs
+++ b/crates/core/src/endpoint.rs
@@ -1,47 +1,47 @@
-//! Entries of the endpoint list, as discovery or a file gives them.
+//! Entries of the endpoint list, as read from discovery or from a file.
 
 use crate::ids::{CellId, EndpointId, MachineClassId, Millis, ZoneId};
 
-/// The state of an endpoint on the list.
+/// The state that the list gives for an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// The endpoint accepts requests.
     #[default]
     Up,
-    /// Finishes what it has.
+    /// The endpoint completes the requests that it has and must get no new ones.
     Draining,
-    /// Has left the list.
+    /// The endpoint is no longer on the list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Which endpoint.
+    /// The identifier of the endpoint.
     pub id: EndpointId,
-    /// Its zone.
+    /// The zone of the endpoint, if known.
     pub zone: Option<ZoneId>,
-    /// Its class of machines.
+    /// The machine class of the endpoint, if known.
     pub machine_class: Option<MachineClassId>,
-    /// Its cell.
+    /// The deduplication cell of the endpoint, if any.
     pub cell: Option<CellId>,
-    /// Its state.
+    /// The state of the endpoint.
     pub state: EndpointState,
-    /// Its weight, see [`Settings::weight_meaning`](crate::Settings::weight_meaning).
+    /// The weight of the endpoint; for its meaning see [`Settings::weight_meaning`](crate::Settings::weight_meaning).
     pub weight: f64,
-    /// When it last started; `None` if long ago.
+    /// When the endpoint last started; `None` if that was long ago.
     pub started_at: Option<Millis>,
 }
 
-/// How far a list update reaches.
+/// The scope of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// Changed entries only.
+    /// The update contains only changed entries.
     Delta,
-    /// The complete list: what it lacks has been removed.
+    /// The update is the complete list: endpoints missing from it have been removed.
     Full,
-    /// The complete list as last seen before a restart, perhaps stale.
+    /// The update is the complete list as cached before a restart; it may be stale.
     Cached,
-    /// The call failed; the list that is held stands.
+    /// The call to discovery failed, and the current list remains in use.
     Failed,
 }
--- a/crates/core/src/endpoint_status.rs
+++ b/crates/core/src/endpoint_status.rs
@@ -1,28 +1,28 @@
-//! How listed endpoints are treated.
+//! The status of listed endpoints for operators and metrics.
 
-/// How a listed endpoint is treated.
+/// The status of a listed endpoint, which determines whether it gets requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It gets requests.
+    /// The endpoint gets requests.
     InUse,
-    /// In slow start: it gets what its budget allows.
+    /// The endpoint is in slow start and gets the requests that its slow-start budget allows.
     WarmingUp,
-    /// Back from an ejection: it gets one request at a time until it has served enough of them.
+    /// The endpoint was ejected before and gets one request at a time until it has served enough of them.
     Probation,
-    /// Ejected after failures or timeouts.
+    /// The endpoint is ejected because of failures or timeouts.
     Ejected,
-    /// Ejected as it rejected requests for want of capacity.
+    /// The endpoint is ejected because it rejected requests for lack of capacity.
     Rejecting,
-    /// Other proxies report it as an outlier, and it has responded to nothing here of late.
+    /// Other proxies report the endpoint as an outlier, and this proxy has received no response from it recently.
     ReportedByPeers,
-    /// The list says that it drains.
+    /// The endpoint is draining, according to the list.
     Draining,
-    /// Taken out of service by an operator.
+    /// An operator has taken the endpoint out of service.
     Maintenance,
 }
 
 impl EndpointStatus {
-    /// All of them.
+    /// All statuses, in the order of declaration.
     pub const ALL: [EndpointStatus; 8] = [
         EndpointStatus::InUse,
         EndpointStatus::WarmingUp,
@@ -34,7 +34,7 @@
         EndpointStatus::Maintenance,
     ];
 
-    /// Its name in metrics.
+    /// The name of the status in metrics.
     pub fn name(self) -> &'static str {
         match self {
             EndpointStatus::InUse => "in_use",
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Whether such an endpoint gets nothing at all.
+    /// Whether an endpoint with this status gets no requests at all.
     pub fn is_avoided(self) -> bool {
         !matches!(self, EndpointStatus::InUse | EndpointStatus::WarmingUp | EndpointStatus::Probation)
     }
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -1,176 +1,180 @@
-//! What a proxy sees and hands to [`Balancer::handle`](crate::Balancer::handle).
+//! The events that a proxy passes to [`Balancer::handle`](crate::Balancer::handle).
 
 use crate::endpoint::{Endpoint, ListScope};
 use crate::ids::{AffinityKey, CallId, ClassId, EndpointId, Millis, RequestId, TenantId};
 use crate::outcomes::Outcome;
 use crate::settings::Settings;
 
-/// How a call to discovery ended.
+/// The way in which a call to discovery ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// Nobody accepted the connection: discovery was down, and nothing could be notified.
+    /// The connection was not accepted: discovery was down and could not have sent any changes.
     Unreachable,
-    /// Something was received that can't be read: an update may have been lost.
+    /// Malformed data was received, so an update may have been lost.
     Malformed,
-    /// It was refused, broke or ended.
+    /// Discovery refused the call, or the connection was closed or broke.
     Closed,
 }
 
-/// What the transport sees of discovery. Times are those at which it was read from the network.
+/// An event of the connection to discovery, reported by the transport. Times are those at which data was read from the
+/// network.
 #[derive(Clone, Debug)]
 pub enum DiscoveryEvent {
-    /// Discovery is at another address from now on. Open calls go to the former one.
+    /// Discovery has moved to another address. Calls that are open now are connected to the previous address.
     Moved,
-    /// This process succeeds another one that still runs.
+    /// This process has started as the successor of a process that is still running.
     TakeoverStarted,
     /// The connection of a call is established.
     Connected(CallId),
-    /// The complete list, or what has changed in it.
+    /// The complete list, or changes to it, has arrived.
     Update {
-        /// The call that it answers.
+        /// The call on which the update arrived.
         call: CallId,
-        /// When it was read.
+        /// When the update was read from the network.
         read_at: Millis,
-        /// The version of the list that it leads to.
+        /// The version of the list after the update.
         version: u64,
-        /// Whether it is the complete list: what it lacks has been removed.
+        /// Whether the update is the complete list, so that endpoints missing from it have been removed.
         complete: bool,
-        /// Its entries.
+        /// The entries of the update.
         entries: Vec<Endpoint>,
     },
-    /// Nothing has changed.
+    /// A heartbeat has arrived: the list has not changed.
     Heartbeat {
-        /// The call that it answers.
+        /// The call on which the heartbeat arrived.
         call: CallId,
-        /// When it was read.
+        /// When the heartbeat was read from the network.
         read_at: Millis,
     },
-    /// A call has ended. Reported exactly once, and not for calls that were given up by
+    /// A call has ended. This event is reported exactly once for each call that was not cancelled by
     /// [`Action::Unsubscribe`](crate::Action::Unsubscribe).
     Ended {
-        /// The call.
+        /// The call that has ended.
         call: CallId,
-        /// When it ended; for one that was never accepted, when it began.
+        /// When the call ended; for a call that was never accepted, when it began.
         at: Millis,
-        /// How.
+        /// The way in which the call ended.
         end: CallEnd,
     },
 }
 
-/// How far the body of a request is that is forwarded while it is still received.
+/// The stage of a request whose body is forwarded while the client is still sending it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UploadStage {
-    /// It has started. The request's deadline does not run yet.
+    /// Forwarding of the body has started. The request's deadline does not run yet.
     Started,
-    /// Its last byte has been received, from which the request's deadline runs.
+    /// The last byte of the body has been received; the request's deadline runs from now on.
     Complete,
-    /// It can't be sent again.
+    /// The body can't be sent again, because it is streamed and an attempt has already taken the stream.
     NotReplayable,
 }
 
-/// What a client announced of its timeout, and what that says of clients like it.
+/// The timeout that a client announced with a request, and whether it is representative of other clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Announcement {
-    /// It announced this timeout with a first try that it wrote at once: others of its class and tenant wait as long.
+    /// The client announced this timeout with a first attempt that it wrote without delay: other clients of its class
+    /// and tenant are assumed to wait as long.
     Typical(Millis),
-    /// It announced this timeout with a first try that it wrote slowly: it may wait less.
+    /// The client announced this timeout with a first attempt that it wrote slowly, and may wait for less than that.
     Doubtful(Millis),
-    /// Nothing, or a timeout that holds for this request alone, as a retry's does, which is what is left.
+    /// The client announced no timeout, or one that applies to this request alone: a retry, for example, announces the
+    /// time that remains.
     #[default]
     Individual,
 }
 
-/// What a proxy sees.
+/// An event that the proxy reports to the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// What a transport that may lose updates sees of discovery.
+    /// An event of the connection to discovery, over a transport that may lose updates.
     Discovery(DiscoveryEvent),
-    /// An update of the endpoint list by a transport that delivers all of them, or from a cache.
+    /// An update of the endpoint list has arrived over a transport that delivers all updates, or from a cache.
     List {
-        /// How far it reaches.
+        /// The scope of the update.
         scope: ListScope,
-        /// Its entries.
+        /// The entries of the update.
         entries: Vec<Endpoint>,
     },
-    /// Listed endpoints turn out to have started later than their entries said.
+    /// Listed endpoints are found to have started later than their entries state.
     StartTimes(Vec<(EndpointId, Millis)>),
-    /// A request has arrived and is owed exactly one final answer.
+    /// A request has arrived. It gets exactly one final answer.
     Request {
-        /// Its number.
+        /// The number of the request.
         id: RequestId,
-        /// Its class.
+        /// The class of the request.
         class: ClassId,
-        /// Its tenant.
+        /// The tenant that the request counts for, if any.
         tenant: Option<TenantId>,
-        /// What it is about.
+        /// The affinity key of the request, if any.
         key: Option<AffinityKey>,
-        /// How long the client still waits, by its own word.
+        /// How long the client still waits, as it announced.
         timeout: Millis,
-        /// What that says of clients like it.
+        /// The announced timeout as evidence for other clients of the same class and tenant.
         announcement: Announcement,
-        /// Its expected processing time on a standard core.
+        /// The expected processing time of the request on a standard core, if known.
         expected_cost: Option<Millis>,
     },
-    /// A streamed response has started: the client has its final answer.
+    /// A streamed response has started, which is the final answer to the client.
     Started {
         /// The request.
         request: RequestId,
-        /// Its attempt, counted from 0 in the order of sends.
+        /// The attempt, counted from 0 in the order of sends.
         attempt: u32,
     },
     /// An attempt has ended.
     Ended {
         /// The request.
         request: RequestId,
-        /// Its attempt.
+        /// The attempt, counted from 0 in the order of sends.
         attempt: u32,
-        /// Time since the send.
+        /// The time from the send to the end of the attempt.
         latency: Millis,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// Whether the request is finished.
+        /// Whether the request is finished and needs no further attempt.
         finished: bool,
     },
-    /// How far the body of a request is that is forwarded while it is still received.
+    /// A request whose body is forwarded while the client is still sending it has reached another stage.
     Upload {
         /// The request.
         request: RequestId,
-        /// How far.
+        /// The stage that has been reached.
         stage: UploadStage,
     },
-    /// An operator takes an endpoint out of service or puts it back; a list can't.
+    /// An operator takes an endpoint out of service or puts it back. Updates of the list do not change this.
     Maintenance {
-        /// The endpoint, listed or not.
+        /// The endpoint, which need not be listed.
         endpoint: EndpointId,
-        /// Whether nothing more may be sent there.
+        /// Whether the endpoint is in maintenance and must get no requests.
         enabled: bool,
     },
-    /// This proxy sends its clients elsewhere, or takes them again.
+    /// This proxy starts draining, and directs its clients to other proxies (`true`), or stops draining (`false`).
     Draining(bool),
-    /// Other settings. Those that need a restart stay as they were.
+    /// The settings have changed. Settings that need a restart keep their current values.
     Reconfigure(Box<Reconfiguration>),
-    /// Another process begins or ceases to use this proxy's part of all capacity, during an upgrade.
+    /// During an upgrade, another process starts (`true`) or stops (`false`) using this proxy's share of the capacity.
     OverlappingProcess(bool),
-    /// The client has closed its connection; no answer is owed any more.
+    /// The client has closed its connection; the request needs no answer any more.
     ClientClosed(RequestId),
     /// A timer set with [`Action::Timer`](crate::Action::Timer) has expired.
     Timer(u64),
-    /// A message of another proxy.
+    /// A gossip message of another proxy has arrived.
     Gossip {
-        /// That proxy's index.
+        /// The index of the sender among the proxies.
         from: u32,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
 }
 
-/// Settings for a proxy that runs. A class keeps its number for as long as an open request refers to it.
+/// New settings for a running proxy. A class keeps its number for as long as an open request refers to it.
 #[derive(Clone, Debug)]
 pub struct Reconfiguration {
-    /// The settings; their classes are all that have a number, on offer or not.
+    /// The settings. Their classes include all that have a number, whether or not they are offered to clients.
     pub settings: Settings,
-    /// For each class the number of the one whose statistics it inherits: its own, if its rules are the same.
+    /// For each class, the number of the previous class whose statistics it inherits: its own if its rules are the
+    /// same.
     pub inherits_from: Vec<Option<usize>>,
-    /// Which classes are on offer.
+    /// For each class, whether it is offered to clients.
     pub offered: Vec<bool>,
 }
--- a/crates/core/src/gossip/message.rs
+++ b/crates/core/src/gossip/message.rs
@@ -1,44 +1,45 @@
-//! The form of the messages between proxies.
+//! The binary encoding of gossip messages between proxies.
 //!
 //! | bytes | content |
 //! | --- | --- |
 //! | 0 | version |
-//! | 1 | low byte of the sender's zone, or 255 for none or for one that needs the last byte |
-//! | 2 | number of outliers, with the highest bit set if the sender drains |
-//! | 3.. | names of outliers, then names of endpoints, once for each attempt in flight; two bytes each |
-//! | last | high byte of the zone, if the number of bytes after the head is odd |
+//! | 1 | low byte of the sender's zone; 255 if it has no zone, or as the low byte of a zone that needs the last byte |
+//! | 2 | number of outliers, with the highest bit set if the sender is draining |
+//! | 3.. | names of outliers, then the name of the endpoint of each attempt in flight; two bytes each |
+//! | last | high byte of the zone, present if the number of bytes after the header is odd |
 
 use crate::endpoints::{EndpointIndex, EndpointTable};
 use crate::ids::{Millis, ZoneId};
 
+/// Version of the encoding.
 const VERSION: u8 = 1;
-/// Set in the number of outliers: the sender sends its clients elsewhere.
+/// Flag in the byte with the number of outliers: the sender is draining and directs its clients to other proxies.
 const DRAINING_FLAG: u8 = 0x80;
-/// Bytes of a message before the endpoints' names.
+/// Length of the header before the endpoint names, in bytes.
 pub(super) const HEADER_LEN: usize = 3;
-/// Bytes of a message at most.
+/// Maximum length of a message, in bytes.
 pub(super) const MAX_LEN: usize = 256;
-/// Bytes of an endpoint's name.
+/// Length of an endpoint name, in bytes.
 pub(super) const NAME_LEN: usize = 2;
-/// Outliers that a message reports at most.
+/// Maximum number of outliers that a message reports.
 const MAX_OUTLIERS: usize = 30;
-/// The zone byte of a sender without a zone, or whose zone needs the last byte too.
+/// The zone byte of a sender that has no zone. It is also the low byte of a zone if the message has a last byte.
 const NO_SHORT_ZONE: u8 = u8::MAX;
 
-/// A message of another proxy; endpoints that are unknown here are left out.
+/// A decoded message of another proxy. Endpoints that this proxy does not know are left out.
 pub(crate) struct Message {
     /// The sender's zone.
     pub zone: Option<ZoneId>,
-    /// Whether it sends its clients elsewhere.
+    /// Whether the sender is draining.
     pub draining: bool,
-    /// Endpoints that it has ejected.
+    /// Endpoints that the sender has ejected.
     pub outliers: Vec<EndpointIndex>,
-    /// Endpoints to which it has attempts in flight, once for each.
+    /// Endpoints to which the sender has attempts in flight, repeated for each attempt.
     pub in_flight: Vec<EndpointIndex>,
 }
 
 impl Message {
-    /// Reads a message; `None` if it has another form.
+    /// Decodes a message; `None` if it is too short or has another version.
     pub fn decode(bytes: &[u8], endpoints: &EndpointTable) -> Option<Message> {
         if bytes.len() < HEADER_LEN || bytes[0] != VERSION {
             return None;
@@ -63,16 +64,16 @@
     }
 }
 
-/// An endpoint that a message can name.
-struct Named {
+/// An endpoint with a gossip name and its number of attempts in flight.
+struct NamedLoad {
     endpoint: EndpointIndex,
     name: [u8; NAME_LEN],
     in_flight: u32,
 }
 
-/// Writes a message with this proxy's outliers and attempts in flight; endpoints without a name are left out. Where
-/// the attempts don't fit, those from the endpoint `next` on are reported, and the next message starts where this one
-/// ends.
+/// Encodes a message with this proxy's outliers and attempts in flight. Endpoints without a gossip name are left out.
+/// If the attempts don't all fit, the message starts with those of the endpoint `next`, and `next` is set to the
+/// endpoint with which the next message has to start.
 pub(super) fn encode(
     zone: Option<ZoneId>, draining: bool, endpoints: &EndpointTable, next: &mut EndpointIndex, now: Millis,
 ) -> Vec<u8> {
@@ -100,30 +101,31 @@
 
 fn encode_in_flight(bytes: &mut Vec<u8>, endpoints: &EndpointTable, next: &mut EndpointIndex) {
     let names_left = |bytes: &[u8]| ((MAX_LEN - bytes.len()) / NAME_LEN) as u32;
-    let named: Vec<Named> = endpoints
+    let loads: Vec<NamedLoad> = endpoints
         .iter_indexed()
         .filter(|(_, entry)| entry.load.this_proxy > 0)
         .filter_map(|(endpoint, entry)| {
             let name = entry.gossip_name?.to_le_bytes();
-            Some(Named { endpoint, name, in_flight: entry.load.this_proxy })
+            Some(NamedLoad { endpoint, name, in_flight: entry.load.this_proxy })
         })
         .collect();
-    let all_fit = named.iter().map(|named| named.in_flight).sum::<u32>() <= names_left(bytes);
-    let start = if all_fit { 0 } else { named.partition_point(|named| named.endpoint < *next) };
-    for named in named[start..].iter().chain(&named[..start]) {
-        let reported = named.in_flight.min(names_left(bytes));
+    let all_fit = loads.iter().map(|load| load.in_flight).sum::<u32>() <= names_left(bytes);
+    let start = if all_fit { 0 } else { loads.partition_point(|load| load.endpoint < *next) };
+    for load in loads[start..].iter().chain(&loads[..start]) {
+        let reported = load.in_flight.min(names_left(bytes));
         if reported == 0 {
-            *next = named.endpoint;
+            *next = load.endpoint;
             break;
         }
         for _ in 0..reported {
-            bytes.extend(named.name);
+            bytes.extend(load.name);
         }
     }
 }
 
-/// A zone as the byte of the header and, for one past what that holds, the last byte of the message. Names take two
-/// bytes each, so that an odd byte at the end is not part of one, and there is always room for it.
+/// Encodes a zone as the zone byte of the header and, for zones that one byte cannot hold, the last byte of the
+/// message. Endpoint names take two bytes each, so an odd byte at the end cannot be part of a name, and there is always
+/// room for it.
 fn encode_zone(zone: Option<ZoneId>) -> (u8, Option<u8>) {
     match zone.map(|zone| zone.0.to_le_bytes()) {
         Some([low, 0, 0, 0]) if low != NO_SHORT_ZONE => (low, None),
@@ -132,6 +134,7 @@
     }
 }
 
+/// Decodes the zone of the sender from the header and the last byte, if there is one.
 fn decode_zone(bytes: &[u8]) -> Option<ZoneId> {
     let last_byte = bytes[HEADER_LEN..].chunks_exact(NAME_LEN).remainder();
     match (bytes[1], last_byte) {
--- a/crates/core/src/gossip/mod.rs
+++ b/crates/core/src/gossip/mod.rs
@@ -1,4 +1,4 @@
-//! What proxies report to each other: their load on endpoints, outliers, and that they drain.
+//! Gossip between proxies: each reports its load on endpoints, its outliers and whether it is draining.
 
 mod message;
 mod state;
--- a/crates/core/src/gossip/state.rs
+++ b/crates/core/src/gossip/state.rs
@@ -1,22 +1,22 @@
-//! What other proxies have reported of late, and when this one may send its next message.
+//! The latest reports of the other proxies, and the budget for the messages of this one.
 
 use super::message::{HEADER_LEN, MAX_LEN, Message, NAME_LEN, encode};
 use crate::endpoints::{EndpointIndex, EndpointTable};
 use crate::ids::{Millis, ZoneId};
 use crate::settings::Settings;
 
-/// A report counts for so long.
+/// Time after which a report expires.
 pub(crate) const REPORT_EXPIRY: Millis = 500.0;
-/// Longest time between two messages.
+/// Time after which a message is sent even if the byte budget does not cover it.
 const MAX_INTERVAL: Millis = REPORT_EXPIRY / 2.0;
-/// Messages of full length that a proxy may send for each request that it gets.
+/// Messages of the maximum length, counted once per recipient, that the byte budget allows for each request received.
 const MESSAGES_PER_REQUEST: f64 = 0.6;
-/// Messages of full length that may be saved up.
+/// Upper bound of the byte budget, in messages of the maximum length.
 const MAX_SAVED_MESSAGES: f64 = 2.0;
-/// Weight of the last interval in the mean interval.
+/// Weight of the latest interval in the moving average of the interval between messages.
 const INTERVAL_GAIN: f64 = 0.1;
 
-/// What another proxy has reported last.
+/// The latest report of another proxy.
 pub(crate) struct PeerReport {
     received_at: Millis,
     draining: bool,
@@ -24,7 +24,7 @@
     in_flight: Vec<InFlight>,
 }
 
-/// An attempt of another proxy.
+/// An attempt that another proxy has in flight.
 struct InFlight {
     endpoint: EndpointIndex,
     crosses_zones: bool,
@@ -44,52 +44,54 @@
         }
     }
 
-    /// Endpoints to which the peer has attempts in flight, once for each.
+    /// Endpoints to which the peer has attempts in flight, repeated for each attempt.
     pub fn loaded_endpoints(&self) -> impl Iterator<Item = EndpointIndex> {
         self.in_flight.iter().map(|attempt| attempt.endpoint)
     }
 
-    /// Adds the report to the endpoints' counts.
+    /// Adds the outliers and attempts of the report to the counters of the endpoints.
     pub fn apply(&self, endpoints: &mut EndpointTable) {
         for &endpoint in &self.outliers {
             endpoints[endpoint].outlier_reports += 1;
         }
         for attempt in &self.in_flight {
-            *attempt.count(endpoints) += 1;
+            *attempt.load_counter(endpoints) += 1;
         }
     }
 
-    /// Takes the report off the endpoints' counts.
+    /// Removes the outliers and attempts of the report from the counters of the endpoints.
     fn retract(&self, endpoints: &mut EndpointTable) {
         for &endpoint in &self.outliers {
             endpoints[endpoint].outlier_reports -= 1;
         }
         for attempt in &self.in_flight {
-            *attempt.count(endpoints) -= 1;
+            *attempt.load_counter(endpoints) -= 1;
         }
     }
 }
 
 impl InFlight {
-    fn count<'a>(&self, endpoints: &'a mut EndpointTable) -> &'a mut u32 {
+    /// The counter of its endpoint that the attempt counts in.
+    fn load_counter<'a>(&self, endpoints: &'a mut EndpointTable) -> &'a mut u32 {
         let load = &mut endpoints[self.endpoint].load;
         if self.crosses_zones { &mut load.peers_other_zones } else { &mut load.peers_same_zone }
     }
 }
 
-/// The reports of all other proxies, and the budget of this one's messages.
+/// The reports of all other proxies, and the byte budget for the messages of this one.
 pub(crate) struct GossipState {
+    /// The current report of each proxy, by index.
     reports: Vec<Option<PeerReport>>,
-    /// The zones of the proxies, as they reported.
+    /// The zone that each proxy last reported, by index.
     zones: Vec<Option<ZoneId>>,
-    /// Other proxies that have reported that they drain.
+    /// Number of other proxies whose current report says that they are draining.
     draining_peers: u32,
-    /// Bytes that may be sent.
+    /// Bytes that may be sent now; negative after a message that the budget did not cover.
     byte_budget: f64,
     last_sent_at: Millis,
-    /// Mean time between this proxy's messages; others send about as often.
+    /// Moving average of the time between this proxy's messages; other proxies are assumed to send about as often.
     mean_interval: Millis,
-    /// The endpoint with which a message starts that can't report all.
+    /// The endpoint with which the next message starts if it can't report all attempts.
     next_endpoint: EndpointIndex,
 }
 
@@ -106,44 +108,44 @@
         }
     }
 
-    /// The process has started.
+    /// Starts the interval between messages at the start of the process.
     pub fn start(&mut self, now: Millis) {
         self.last_sent_at = now;
     }
 
-    /// Whether there is a proxy of that index.
+    /// Whether the index belongs to one of the proxies.
     pub fn is_member(&self, peer: usize) -> bool {
         peer < self.reports.len()
     }
 
-    /// The zone of a proxy, as it reported.
+    /// The zone that a proxy last reported.
     pub fn zone_of(&self, proxy: u32) -> Option<ZoneId> {
         self.zones[proxy as usize]
     }
 
-    /// Whether a proxy has reported of late that it drains.
+    /// Whether the current report of a proxy says that it is draining.
     pub fn is_draining(&self, proxy: u32) -> bool {
         self.reports[proxy as usize].as_ref().is_some_and(|report| report.draining)
     }
 
-    /// Other proxies that have reported that they drain.
+    /// Number of other proxies whose current report says that they are draining.
     pub fn draining_peers(&self) -> u32 {
         self.draining_peers
     }
 
-    /// Mean time between the messages of a proxy.
+    /// Mean time between the messages of a proxy, estimated from those of this one.
     pub fn mean_interval(&self) -> Millis {
         self.mean_interval
     }
 
-    /// Keeps the report of a peer, which has been applied and whose former one has been retracted.
+    /// Stores the report of a peer. The caller has already applied the report and retracted the previous one.
     pub fn store(&mut self, peer: usize, zone: Option<ZoneId>, report: PeerReport) {
         self.zones[peer] = zone;
         self.draining_peers += u32::from(report.draining);
         self.reports[peer] = Some(report);
     }
 
-    /// Forgets the last report of a peer; returns it if there was one.
+    /// Removes the report of a peer, if any, and its counts on the endpoints; returns it.
     pub fn retract(&mut self, peer: usize, endpoints: &mut EndpointTable) -> Option<PeerReport> {
         let report = self.reports[peer].take()?;
         self.draining_peers -= u32::from(report.draining);
@@ -151,34 +153,35 @@
         Some(report)
     }
 
-    /// Other proxies whose reports count at present.
+    /// Number of other proxies that have a current report.
     pub fn reporting_peers(&self) -> usize {
         self.reports.iter().flatten().count()
     }
 
-    /// All peers.
+    /// The indices of all proxies.
     pub fn peers(&self) -> std::ops::Range<usize> {
         0..self.reports.len()
     }
 
-    /// Whether a peer's last report no longer counts.
+    /// Whether a peer has a report that has expired.
     pub fn is_expired(&self, peer: usize, now: Millis) -> bool {
         self.reports[peer].as_ref().is_some_and(|report| now - report.received_at > REPORT_EXPIRY)
     }
 
-    /// All endpoints that reports refer to.
+    /// All endpoints that current reports refer to; endpoints may be repeated.
     pub fn referenced_endpoints(&self) -> impl Iterator<Item = EndpointIndex> {
         let reports = self.reports.iter().flatten();
         reports.flat_map(|report| report.loaded_endpoints().chain(report.outliers.iter().copied()))
     }
 
-    /// A request has arrived, which adds to the budget of bytes.
+    /// Refills the byte budget for a request that has arrived.
     pub fn refill_budget(&mut self, settings: &Settings) {
         let bytes = MESSAGES_PER_REQUEST * MAX_LEN as f64 / f64::from(settings.proxies);
         self.byte_budget = (self.byte_budget + bytes).min(MAX_SAVED_MESSAGES * MAX_LEN as f64);
     }
 
-    /// The next message, if the budget of bytes covers it or the last one is long ago.
+    /// Returns the next message if it is due: the byte budget covers it, or the last message was sent more than
+    /// `MAX_INTERVAL` ago.
     pub fn publish(
         &mut self, now: Millis, settings: &Settings, draining: bool, attempts: usize,
         endpoints: &EndpointTable,
--- a/crates/core/src/gossip/unheard_load.rs
+++ b/crates/core/src/gossip/unheard_load.rs
@@ -1,50 +1,52 @@
-//! The load of the other proxies while no gossip of them arrives.
+//! An estimate of the load of the other proxies while no gossip arrives from any of them.
 
 use crate::endpoints::{EndpointEntry, EndpointTable};
 use crate::estimators::AVERAGING_TIME;
 use crate::schedule::REVIEW_INTERVAL;
 
-/// Weight of a review in the means.
+/// Weight of one review in the moving averages.
 const REVIEW_GAIN: f64 = REVIEW_INTERVAL / AVERAGING_TIME;
-/// Lower bound of the capacity of all endpoints, which is divided by.
+/// Lower bound of the total capacity of the endpoints, which prevents a division by zero.
 const MIN_TOTAL_CAPACITY: f64 = 1.0;
 
-/// What a review sees of the fleet.
+/// The state of the fleet at the time of a review.
 pub(crate) struct FleetView {
-    /// Proxies whose clients stay with them, this one included.
+    /// Proxies that are not draining, including this one.
     pub active_proxies: f64,
-    /// Other proxies whose reports count at present.
+    /// Other proxies that have a current report.
     pub reporting_peers: usize,
-    /// Requests that arrive here per millisecond.
+    /// Requests that arrive at this proxy per millisecond.
     pub arrivals_per_ms: f64,
 }
 
-/// An estimate of the attempts that all other proxies have in flight while none of them is heard. They are taken to go
-/// on as they did when last heard, spread over the endpoints by capacity, less what their clients now send here.
-/// Without it each proxy of a fleet whose gossip is lost would take the capacity of all endpoints for idle.
+/// An estimate of the attempts that all other proxies have in flight while no reports of them arrive. The estimate
+/// assumes that their load is the same as when they last reported, minus the load of clients that now use this proxy,
+/// and that it is distributed over the endpoints by capacity. Without the estimate, each proxy of a fleet that has lost
+/// its gossip would treat the capacity of all endpoints as idle.
 #[derive(Default)]
 pub(crate) struct UnheardLoad {
-    /// Mean of the attempts that they had in flight while some of them were heard.
+    /// Moving average of the attempts of all other proxies in flight, updated while reports arrive.
     in_flight: f64,
-    /// Mean of this proxy's arrivals per millisecond meanwhile.
+    /// Moving average of the requests that arrive at this proxy per millisecond, updated while reports arrive.
     arrivals_per_ms: f64,
-    /// Attempts for each request that the endpoints can hold.
-    per_capacity: f64,
+    /// Estimated attempts of the other proxies per unit of endpoint capacity; 0 while reports arrive.
+    attempts_per_capacity: f64,
 }
 
 impl UnheardLoad {
-    /// Follows the reports while there are any, and makes the estimate while there are none.
+    /// Updates the moving averages while reports arrive, and the estimate while none do.
     pub fn update(&mut self, endpoints: &EndpointTable, view: &FleetView) {
-        self.per_capacity = 0.0;
+        self.attempts_per_capacity = 0.0;
         if view.reporting_peers > 0 {
-            self.follow_reports(endpoints, view);
+            self.update_averages(endpoints, view);
         } else if view.active_proxies > 1.0 && self.arrivals_per_ms > 0.0 {
             let capacity: f64 = endpoints.iter().map(|entry| entry.slots.capacity).sum();
-            self.per_capacity = self.estimate(view) / capacity.max(MIN_TOTAL_CAPACITY);
+            self.attempts_per_capacity = self.estimate(view) / capacity.max(MIN_TOTAL_CAPACITY);
         }
     }
 
-    fn follow_reports(&mut self, endpoints: &EndpointTable, view: &FleetView) {
+    /// Updates the moving averages. The load of proxies without a current report is extrapolated from the others.
+    fn update_averages(&mut self, endpoints: &EndpointTable, view: &FleetView) {
         let reported: f64 = endpoints.iter().map(EndpointEntry::reported_concurrency).sum();
         let others = view.active_proxies - 1.0;
         let in_flight = reported * others / view.reporting_peers as f64;
@@ -52,16 +54,16 @@
         self.arrivals_per_ms += REVIEW_GAIN * (view.arrivals_per_ms - self.arrivals_per_ms);
     }
 
-    /// What all of them have in flight. Clients of proxies that have failed come to those that remain, so arrivals here
-    /// that have grown are taken off the others.
+    /// Estimates the attempts that all other proxies have in flight. Clients of failed proxies move to the remaining
+    /// ones, so growth of the arrivals at this proxy is subtracted from the load of the others.
     fn estimate(&self, view: &FleetView) -> f64 {
         let growth = view.arrivals_per_ms / self.arrivals_per_ms - 1.0;
         let remaining = 1.0 - growth / (view.active_proxies - 1.0);
         self.in_flight * remaining.clamp(0.0, 1.0)
     }
 
-    /// The attempts that they are taken to have in flight to an endpoint.
+    /// The estimated attempts of all other proxies in flight to an endpoint.
     pub fn at(&self, entry: &EndpointEntry) -> f64 {
-        self.per_capacity * entry.slots.capacity
+        self.attempts_per_capacity * entry.slots.capacity
     }
 }
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -1,36 +1,38 @@
-//! What a proxy must never do, whatever happens to it, and how often it has done so all the same.
+//! The invariants that a proxy must keep under all circumstances, and counts of their violations.
 //!
-//! Each invariant has one guard where the step can't be undone, in the core for decisions and at the socket for bytes.
-//! What passes a guard and breaks the invariant is counted beside it: such a count is a fault of this program.
+//! Each invariant is checked by one guard at the point after which a step can't be undone: in the core for decisions,
+//! and at the socket for bytes. A step that passes its guard and still violates the invariant is counted there. Such a
+//! count indicates a bug in this program.
 
-/// A rule about a proxy's own conduct.
+/// A rule for the behavior of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
-    /// Nothing is sent to a backend that drains, has left the list or is in maintenance.
+    /// Nothing is sent to a backend that is draining, has left the endpoint list or is in maintenance.
     BackendInService,
-    /// Nothing is sent by a server list that may lack a change which counts as known.
+    /// Nothing is sent on the basis of an endpoint list that may lack a change that counts as notified.
     ListCurrent,
-    /// Nothing is sent for a request that has its answer or whose client has left.
+    /// Nothing is sent for a request that has been answered or whose client has disconnected.
     RequestOpen,
-    /// No request has two attempts out at once.
+    /// No request has two attempts in flight at once.
     SingleAttempt,
-    /// A request that may have run is sent again only to where its repeat is dropped, and while it is.
+    /// A request that may have been executed is sent again only to endpoints that deduplicate it, and only for as long
+    /// as they do; an idempotent request may always be sent again.
     RepeatAllowed,
-    /// A backend that is still cold gets no more than its budget.
+    /// A backend in slow start gets no more requests than its slow-start budget allows.
     SlowStart,
-    /// The time told to a backend is no longer than what the client has left.
+    /// The timeout sent to a backend is no longer than the time for which the client still waits.
     DeadlinePropagated,
-    /// A final answer is given in time.
+    /// A final answer is sent before the request's deadline.
     AnsweredInTime,
-    /// A connection is closed only once the request that was read on it has its answer.
+    /// A client connection is closed only after the request that was read from it has been answered.
     AnsweredBeforeClose,
 }
 
 impl Invariant {
-    /// How many there are.
+    /// The number of invariants.
     pub const COUNT: usize = Invariant::AnsweredBeforeClose as usize + 1;
 
-    /// All of them.
+    /// All invariants, in the order of declaration.
     pub const ALL: [Invariant; Invariant::COUNT] = [
         Invariant::BackendInService,
         Invariant::ListCurrent,
@@ -43,7 +45,7 @@
         Invariant::AnsweredBeforeClose,
     ];
 
-    /// Its name in figures and logs.
+    /// The name of the invariant in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::BackendInService => "backend_in_service",
@@ -59,22 +61,22 @@
     }
 }
 
-/// How often each invariant was broken, in the order of [`Invariant::ALL`].
+/// The number of violations of each invariant, in the order of [`Invariant::ALL`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Violations([u64; Invariant::COUNT]);
 
 impl Violations {
-    /// Counts one.
+    /// Counts a violation of an invariant.
     pub fn record(&mut self, invariant: Invariant) {
         self.0[invariant as usize] += 1;
     }
 
-    /// How often an invariant was broken.
+    /// The number of violations of an invariant.
     pub fn count(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize]
     }
 
-    /// How often any was.
+    /// The number of violations of all invariants together.
     pub fn total(&self) -> u64 {
         self.0.iter().sum()
     }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decides, for one reverse proxy, which HTTP server gets which request and when.
+//! The load-balancing decisions of a reverse proxy: which backend gets which request, and when.
 //!
-//! It does no input or output of its own: feed [`Balancer::handle`] with what the proxy sees
-//! and carry out the [`Action`]s that it returns.
+//! The crate performs no I/O. The proxy passes events to [`Balancer::handle`] and carries out the [`Action`]s that it
+//! returns.
 //!
 //! ```
 //! use leadrelay_core::threshold;
 //!
-//! // With all servers equally fast nothing is worth waiting for.
+//! // If all servers are equally fast, no request should wait for a busy one.
 //! assert_eq!(threshold(4.0, 0.5, 1.0), 0);
-//! // Three times as fast and idle, two faster servers are worth a queue.
+//! // Two servers that are three times as fast and almost idle justify a queue.
 //! assert!(threshold(2.0, 0.1, 3.0) >= 2);
 //! ```
 
--- a/crates/core/src/operator_overrides.rs
+++ b/crates/core/src/operator_overrides.rs
@@ -1,4 +1,4 @@
-//! What operators have said of endpoints and of this proxy; it overrides what the list says.
+//! Operator commands for endpoints and for this proxy, which take precedence over the endpoint list.
 
 use rustc_hash::FxHashMap;
 
@@ -6,23 +6,23 @@
 use crate::ids::{EndpointId, Millis};
 use crate::learned_state::MaintenanceReturn;
 
-/// The time that an endpoint spent in maintenance.
+/// The period that an endpoint spent in maintenance.
 struct MaintenancePeriod {
     out_at: Millis,
     back_at: Millis,
 }
 
-/// What operators have said. It is kept by id beside the list, so that neither a list nor an endpoint that leaves and
-/// returns lifts it.
+/// The state set by operators. It is stored by endpoint id, separately from the list, so that it persists when the list
+/// is updated and when an endpoint leaves the list and returns.
 #[derive(Default)]
 pub(crate) struct OperatorOverrides {
-    /// Endpoints in maintenance, and since when.
+    /// Endpoints in maintenance, with the time at which maintenance started.
     in_maintenance: FxHashMap<EndpointId, Millis>,
-    /// Endpoints that are back from maintenance.
+    /// Endpoints that have returned from maintenance.
     returned: FxHashMap<EndpointId, MaintenancePeriod>,
-    /// Another process uses this proxy's part of all capacity too.
+    /// Whether another process uses this proxy's share of the capacity too, during an upgrade.
     pub overlapping_process: bool,
-    /// This proxy sends its clients elsewhere.
+    /// Whether this proxy is draining and directs its clients to other proxies.
     pub draining: bool,
 }
 
@@ -32,18 +32,18 @@
         self.in_maintenance.contains_key(&id)
     }
 
-    /// Endpoints in maintenance.
+    /// The endpoints in maintenance.
     pub fn endpoints_in_maintenance(&self) -> Vec<EndpointId> {
         self.in_maintenance.keys().copied().collect()
     }
 
-    /// Takes an endpoint out of service; however often that is said, the first time counts.
+    /// Takes an endpoint out of service. If it is in maintenance already, the earlier start time is kept.
     pub fn start_maintenance(&mut self, id: EndpointId, now: Millis) {
         self.in_maintenance.entry(id).or_insert(now);
     }
 
-    /// Puts an endpoint back into service; whether it was out of it. Returns from maintenance are kept for
-    /// `keep_for`: after it the endpoint is warm.
+    /// Puts an endpoint back into service; returns whether it was in maintenance. Maintenance periods that ended more
+    /// than `keep_for` ago are dropped: those endpoints have completed their slow start.
     pub fn end_maintenance(&mut self, id: EndpointId, now: Millis, keep_for: Millis) -> bool {
         let Some(out_at) = self.in_maintenance.remove(&id) else { return false };
         self.returned.retain(|_, period| now - period.back_at < keep_for);
@@ -51,8 +51,8 @@
         true
     }
 
-    /// When an endpoint last started. What comes back from maintenance was most likely restarted there, and the list
-    /// may say so only later: until it does, the return counts as the start.
+    /// When an endpoint last started. An endpoint that returns from maintenance was most likely restarted there, and
+    /// the list may show the new start time only later. Until it does, the time of the return counts as the start.
     pub fn started_at(&mut self, listed: &Endpoint) -> Option<Millis> {
         let Some(period) = self.returned.get(&listed.id) else { return listed.started_at };
         if listed.started_at.is_none_or(|started_at| started_at < period.out_at) {
@@ -62,7 +62,7 @@
         listed.started_at
     }
 
-    /// What a successor takes over.
+    /// The returns from maintenance, for a successor process.
     pub fn maintenance_returns(&self) -> Vec<MaintenanceReturn> {
         let returned = |(id, period): (&EndpointId, &MaintenancePeriod)| MaintenanceReturn {
             endpoint: *id,
@@ -72,7 +72,7 @@
         self.returned.iter().map(returned).collect()
     }
 
-    /// Takes over what a predecessor knew.
+    /// Restores the returns from maintenance that a predecessor process recorded.
     pub fn restore_returns(&mut self, returns: Vec<MaintenanceReturn>) {
         let period = |returned: MaintenanceReturn| {
             let period = MaintenancePeriod { out_at: returned.out_at, back_at: returned.back_at };
--- a/crates/core/src/outcomes.rs
+++ b/crates/core/src/outcomes.rs
@@ -1,31 +1,31 @@
-//! How an attempt ends.
+//! Outcomes of attempts.
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served the request.
     Served,
     /// The endpoint responded with an error.
     Error,
-    /// The endpoint rejected it without processing it, as it has no capacity left.
+    /// The endpoint rejected the attempt without processing it, because it has no capacity left.
     Rejected,
-    /// No response in time.
+    /// No response arrived within the timeout of the attempt.
     TimedOut,
-    /// No connection.
+    /// No connection to the endpoint could be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection to the endpoint broke.
     Reset,
-    /// Cancelled.
+    /// The proxy cancelled the attempt after it was sent.
     Cancelled,
-    /// Withdrawn before anything was sent.
+    /// The proxy withdrew the attempt before anything was sent.
     Withdrawn,
 }
 
 impl Outcome {
-    /// How many there are.
+    /// The number of outcomes.
     pub const COUNT: usize = Outcome::Withdrawn as usize + 1;
 
-    /// All of them.
+    /// All outcomes, in the order of declaration.
     pub const ALL: [Outcome; Outcome::COUNT] = [
         Outcome::Served,
         Outcome::Error,
@@ -37,7 +37,7 @@
         Outcome::Withdrawn,
     ];
 
-    /// Its name in metrics and logs.
+    /// The name of the outcome in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Served => "served",
--- a/crates/core/src/reconfigure.rs
+++ b/crates/core/src/reconfigure.rs
@@ -1,11 +1,12 @@
-//! How statistics by request class pass over to other settings.
+//! Transfer of per-class statistics when the settings change.
 
-/// One value for each new class: that of the class that it inherits from, or else a new one.
+/// Returns one value for each new class: the value of the previous class that it inherits from, or else
+/// `initial(class)`.
 pub(crate) fn inherit<T: Clone>(
-    old: &[T], inherits_from: &[Option<usize>], new: impl Fn(usize) -> T,
+    previous: &[T], inherits_from: &[Option<usize>], initial: impl Fn(usize) -> T,
 ) -> Vec<T> {
-    let value = |(class, from): (usize, &Option<usize>)| {
-        from.and_then(|from| old.get(from).cloned()).unwrap_or_else(|| new(class))
+    let value = |(class, source): (usize, &Option<usize>)| {
+        source.and_then(|source| previous.get(source).cloned()).unwrap_or_else(|| initial(class))
     };
     inherits_from.iter().enumerate().map(value).collect()
 }
--- a/crates/core/src/settings/json.rs
+++ b/crates/core/src/settings/json.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' settings, JSON whose keys are theirs, into [`Settings`].
+//! Parses the operators' settings into [`Settings`]. They are JSON whose keys the operators define.
 
 use serde_json::Value;
 
@@ -9,36 +9,41 @@
     WeightMeaning,
 };
 
-/// What concerns connections and no decision.
+/// Timeouts of backend connections, which do not affect balancing decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Connections {
-    /// A connection that is not up within this span has failed.
+    /// Longest time for establishing a connection.
     pub dial_timeout: Millis,
-    /// A server closes a connection that has stood idle for this span, at the latest.
+    /// Idle time after which backends close a connection at the latest.
     pub idle_close: Millis,
 }
 
+/// The finite, non-negative number under `key`, or `default`.
 fn number(value: &Value, key: &str, default: f64) -> f64 {
     value[key].as_f64().filter(|x| x.is_finite() && *x >= 0.0).unwrap_or(default)
 }
 
+/// The boolean under `key`, or `default`.
 fn flag(value: &Value, key: &str, default: bool) -> bool {
     value[key].as_bool().unwrap_or(default)
 }
 
+/// The string under `key`, or an empty one.
 fn text<'a>(value: &'a Value, key: &str) -> &'a str {
     value[key].as_str().unwrap_or("")
 }
 
+/// The elements of the array under `key`, or none.
 fn list<'a>(value: &'a Value, key: &str) -> &'a [Value] {
     value[key].as_array().map_or(&[], Vec::as_slice)
 }
 
+/// The strings in the array under `key`, or none.
 fn strings(value: &Value, key: &str) -> Vec<String> {
     list(value, key).iter().filter_map(Value::as_str).map(str::to_owned).collect()
 }
 
-fn class(value: &Value) -> RequestClass {
+fn parse_class(value: &Value) -> RequestClass {
     let deadline = number(value, "deadline", 1000.0);
     RequestClass {
         latency_objective: number(value, "promise", deadline).min(deadline),
@@ -46,13 +51,13 @@
         objective_stretch: number(value, "aimStretch", 0.0),
         priority_weight: number(value, "worth", 1.0),
         late_fraction: number(value, "lateShare", 0.0),
-        // What is not known to be repeatable must never run twice.
+        // A request that is not known to be repeatable must never be executed twice.
         idempotency: match text(value, "effect") {
             "idempotent" => Idempotency::Always,
             "deduplicated" => match text(value, "dedupScope") {
-                "all" => keyed(value, DeduplicationScope::All),
-                "zone" => keyed(value, DeduplicationScope::Zone),
-                "cell" => keyed(value, DeduplicationScope::Cell),
+                "all" => with_key(value, DeduplicationScope::All),
+                "zone" => with_key(value, DeduplicationScope::Zone),
+                "cell" => with_key(value, DeduplicationScope::Cell),
                 _ => Idempotency::Never,
             },
             _ => Idempotency::Never,
@@ -60,11 +65,11 @@
     }
 }
 
-fn keyed(value: &Value, scope: DeduplicationScope) -> Idempotency {
+fn with_key(value: &Value, scope: DeduplicationScope) -> Idempotency {
     Idempotency::WithKey { scope, window: number(value, "window", 0.0) }
 }
 
-/// Reads the figures that concern connections from the same object.
+/// Parses the connection timeouts from the same JSON object as [`parse`].
 pub fn connections(all: &Value) -> Connections {
     let ceilings = &all["ceilings"];
     Connections {
@@ -73,43 +78,43 @@
     }
 }
 
-/// Something that is missing or wrong in the settings; a proxy that runs takes nothing from settings with an error.
+/// A missing or invalid value in the settings. A running proxy applies nothing from settings that contain an error.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is no class.
-    #[error("'classes': there are none")]
+    /// The settings contain no request class.
+    #[error("'classes' is missing or empty")]
     NoClasses,
-    /// A class, by its position, has no name.
+    /// The class at this position, counted from 0, has no name.
     #[error("class {0} has no name")]
     UnnamedClass(usize),
-    /// Two classes have one name.
+    /// Two classes have this name.
     #[error("class '{0}' stands twice")]
     DuplicateClass(String),
-    /// A number of a class is missing or not positive.
+    /// A number of a class is missing or is not positive.
     #[error("class '{class}': {key} is no positive number")]
     NotPositive {
-        /// The class.
+        /// The name of the class.
         class: String,
-        /// The key.
+        /// The key of the number.
         key: &'static str,
     },
-    /// The scope of a class with idempotency keys is unknown.
+    /// The deduplication scope of the class with this name is unknown.
     #[error("class '{0}': dedupScope is none of all, zone, cell")]
     UnknownScope(String),
-    /// A class is neither idempotent nor deduplicated nor executed at most once.
+    /// The effect of a class is not one of idempotent, deduplicated and at_most_once.
     #[error("class '{class}': effect '{effect}' is none of idempotent, deduplicated, at_most_once")]
     UnknownEffect {
-        /// The class.
+        /// The name of the class.
         class: String,
-        /// What it says.
+        /// The value in the settings.
         effect: String,
     },
-    /// The number of attempts is missing or zero.
+    /// The maximum number of attempts is missing or is not a positive integer.
     #[error("ceilings.maxAttempts is no positive number")]
     NoAttempts,
 }
 
-/// Everything that is missing or wrong in the settings.
+/// Returns all missing or invalid values in the settings.
 pub fn validate(all: &Value) -> Vec<SettingsError> {
     let mut errors = Vec::new();
     let classes = list(all, "classes");
@@ -156,7 +161,7 @@
     }
 }
 
-/// Reads the settings; what is missing gets the careful default.
+/// Parses the settings and the names in them. Missing values get a conservative default.
 pub fn parse(all: &Value) -> (Settings, Names) {
     let mut names = Names {
         classes: list(all, "classes").iter().map(|c| text(c, "name").to_owned()).collect(),
@@ -170,7 +175,7 @@
         proxy_index: number(all, "myNumber", 0.0) as u32,
         proxies: number(all, "nInstances", 1.0).clamp(1.0, 65_536.0) as u32,
         zone,
-        classes: list(all, "classes").iter().map(class).collect(),
+        classes: list(all, "classes").iter().map(parse_class).collect(),
         tenants: list(all, "accounts")
             .iter()
             .map(|t| Tenant { quota_per_second: number(t, "allowancePerS", f64::MAX) })
--- a/crates/core/src/settings/mod.rs
+++ b/crates/core/src/settings/mod.rs
@@ -1,24 +1,24 @@
-//! What a proxy is told at its start: classes, tenants, limits and prices.
+//! Settings of the balancer: classes of requests, tenants, limits and prices.
 
 use crate::ids::{Millis, ZoneId};
 
 #[cfg(feature = "settings")]
 pub mod json;
 
-/// Whether a request may be executed more than once.
+/// The conditions under which a request may be sent again after it may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may be repeated at any time.
+    /// The request may be repeated at any time.
     Always,
-    /// It carries an idempotency key: for a while after the first attempt was sent, endpoints of the scope drop a
-    /// repeat.
+    /// The request carries an idempotency key: the endpoints in the scope drop a repeat for a limited time after the
+    /// first attempt was sent.
     WithKey {
-        /// Which endpoints drop repeats.
+        /// The endpoints that drop repeats.
         scope: DeduplicationScope,
-        /// For how long, from the send of the first attempt that may have run.
+        /// How long they drop repeats, from the send of the first attempt that may have been executed.
         window: Millis,
     },
-    /// It must never run twice.
+    /// The request must never be executed twice.
     Never,
 }
 
@@ -27,9 +27,9 @@
 pub enum DeduplicationScope {
     /// Every endpoint.
     All,
-    /// Those in the zone of the endpoint that was tried first.
+    /// The endpoints in the zone of the endpoint that got the first attempt.
     Zone,
-    /// Those in the cell of the endpoint that was tried first.
+    /// The endpoints in the cell of the endpoint that got the first attempt.
     Cell,
 }
 
@@ -38,43 +38,44 @@
 pub struct RequestClass {
     /// A response within this duration earns the full weight.
     pub latency_objective: Millis,
-    /// How long a client waits at most.
+    /// The longest time for which a client waits.
     pub deadline: Millis,
-    /// The objective extends by this multiple of a request's expected cost, up to the deadline.
+    /// The multiple of a request's expected cost by which the latency objective is extended, up to the deadline.
     pub objective_stretch: f64,
-    /// What a response within the objective is worth, relative to other classes.
+    /// The weight of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The fraction of the weight that a late response still earns.
+    /// The fraction of the weight that a response earns after the latency objective.
     pub late_fraction: f64,
-    /// Whether a request may run more than once.
+    /// The conditions under which a request may be repeated.
     pub idempotency: Idempotency,
 }
 
 /// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second over all proxies that count in full.
+    /// Requests per second, over all proxies, that count with their full weight.
     pub quota_per_second: f64,
 }
 
-/// How the endpoint list arrives.
+/// How the proxy obtains the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Without a request.
+    /// The list is pushed to the proxy without a request.
     Pushed,
-    /// Only after [`Action::Subscribe`](crate::Action::Subscribe).
+    /// The list is sent only after [`Action::Subscribe`](crate::Action::Subscribe).
     OnRequest,
 }
 
-/// From when on a change of the endpoint list counts as notified to a proxy, whether or not it has arrived. The
-/// durations are the platform's.
+/// The durations after which a change of the endpoint list counts as notified to a proxy, whether or not it has
+/// arrived. They are defined by the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NotificationBounds {
-    /// After discovery had the change and could be reached, or after a watch fell silent.
+    /// The duration from the time at which discovery had the change and could be reached, or at which a watch fell
+    /// silent.
     pub after_change: Millis,
-    /// After discovery has moved to another address.
+    /// The duration from the move of discovery to another address.
     pub after_move: Millis,
-    /// After a successor process has started beside its predecessor.
+    /// The duration from the start of a successor process that runs beside its predecessor.
     pub after_takeover: Millis,
 }
 
@@ -84,52 +85,54 @@
     }
 }
 
-/// What an endpoint's weight on the list says.
+/// The meaning of the weight that the list gives for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// Nothing.
+    /// The weight has no known meaning.
     Unknown,
-    /// Its capacity, exactly or nearly so.
+    /// The weight is the capacity of the endpoint, exactly or approximately.
     Capacity,
-    /// Its capacity, lowered by the load that it had a while ago.
+    /// The weight is the capacity of the endpoint, reduced by its load of some time ago.
     CapacityUnderLoad,
 }
 
-/// What an operator charges for, as a fraction of the weight of a mean request.
+/// Costs that the operator assigns, as fractions of the weight of an average request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prices {
-    /// An attempt that crosses zones.
+    /// The cost of an attempt that crosses zones.
     pub cross_zone: f64,
 }
 
-/// The figures of the rules that every proxy keeps. Two rules need none: nothing is sent to an endpoint once its
-/// drain or removal has been notified, and no request has two attempts in flight at once.
+/// The parameters of the rules that every proxy follows. Two rules have no parameter: nothing is sent to an endpoint
+/// after its drain or removal has been notified, and no request has two attempts in flight at once.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A send to an endpoint is forbidden from this duration after its drain or removal counts as notified.
+    /// The duration after which sends to an endpoint are forbidden once its drain or removal counts as notified.
     pub drain_grace: Millis,
-    /// Without a watch a change counts as notified this duration after it was made, where lists come on request.
+    /// The duration after which a change counts as notified to a proxy without a watch, from the time of the change. It
+    /// applies to lists that are sent on request.
     pub notified_without_watch: Millis,
-    /// An endpoint that has just started has at least this fraction of its capacity.
+    /// The fraction of its capacity that an endpoint has at least when it has just started.
     pub initial_capacity: f64,
-    /// And all of it after this duration at the latest.
+    /// The duration after its start at which an endpoint has reached its full capacity at the latest.
     pub slow_start_window: Millis,
-    /// Sent more than this multiple of its present capacity...
+    /// The multiple of its current capacity beyond which an endpoint in slow start is overloaded, if the excess lasts
+    /// for [`overload_window`](Limits::overload_window).
     pub overload_multiple: f64,
-    /// ...for this duration, an endpoint in slow start is overloaded.
+    /// The duration of excess load after which an endpoint in slow start is overloaded.
     pub overload_window: Millis,
-    /// Requests that may be open at once.
+    /// The maximum number of requests that are open at once.
     pub max_open_requests: usize,
-    /// Attempts allowed for one request.
+    /// The maximum number of attempts for one request.
     pub max_attempts: u32,
 }
 
-/// What a proxy is told at its start.
+/// The settings of the balancer of one proxy.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// This proxy's index among the proxies, from 0.
     pub proxy_index: u32,
-    /// How many proxies share the endpoints.
+    /// The number of proxies that share the endpoints.
     pub proxies: u32,
     /// The zone of this proxy.
     pub zone: Option<ZoneId>,
@@ -139,23 +142,23 @@
     pub tenants: Vec<Tenant>,
     /// The weight of a request beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_fraction: f64,
-    /// Whether weight is counted per unit of work instead of per request.
+    /// Whether the weight of a class counts per unit of work instead of per request.
     pub weight_per_work: bool,
-    /// How the endpoint list arrives.
+    /// How the proxy obtains the endpoint list.
     pub discovery: DiscoveryMode,
-    /// Where updates of the list cross a network that may fail: from when on missed changes count as notified. `None`
-    /// where every update arrives, in order.
+    /// When missed changes of the list count as notified, for updates over a network that may fail. `None` if every
+    /// update arrives, in order.
     pub notification_bounds: Option<NotificationBounds>,
-    /// What the weights on the list say.
+    /// The meaning of the weights on the list.
     pub weight_meaning: WeightMeaning,
-    /// Whether an endpoint that has met a key does less work for it.
+    /// Whether an endpoint needs less work for a request whose affinity key it has served before.
     pub key_affinity: bool,
-    /// Clients mark their retries.
+    /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
-    /// Whether messages between proxies are allowed.
+    /// Whether gossip between proxies is allowed.
     pub gossip_enabled: bool,
-    /// Prices.
+    /// Costs of attempts.
     pub prices: Prices,
-    /// Figures of the rules.
+    /// Parameters of the rules that every proxy follows.
     pub limits: Limits,
 }
