--- a/crates/core/src/balancer/discovery.rs
+++ b/crates/core/src/balancer/discovery.rs
@@ -2,7 +2,9 @@
 
 use super::Balancer;
 use crate::actions::{Action, CancelReason};
-use crate::discovery::{Admission, Phase, is_revalidating, overdue, refusal_extends_validity, retry_at};
+use crate::discovery::{
+    Phase, UpdateDisposition, is_revalidating, overdue, refusal_extends_validity, retry_at,
+};
 use crate::endpoint::{Endpoint, ListScope};
 use crate::events::{CallEnd, DiscoveryEvent};
 use crate::ids::{CallId, Millis};
@@ -25,13 +27,13 @@
             DiscoveryEvent::Connected(call) => self.subscription.connected(call),
             DiscoveryEvent::Update { call, read_at, version, complete, entries } => {
                 match self.subscription.admission(call, version, complete) {
-                    Admission::Apply => {
+                    UpdateDisposition::Apply => {
                         self.record_received(call, read_at, Some(version), out);
                         self.apply_list(now, complete, entries);
                     }
-                    Admission::Unchanged => self.record_received(call, read_at, None, out),
-                    Admission::Ignore => {}
-                    Admission::Reject => self.cancel_call(now, CancelReason::VersionGap, out),
+                    UpdateDisposition::Unchanged => self.record_received(call, read_at, None, out),
+                    UpdateDisposition::Ignore => {}
+                    UpdateDisposition::Reject => self.cancel_call(now, CancelReason::VersionGap, out),
                 }
             }
             DiscoveryEvent::Heartbeat { call, read_at } => {
@@ -139,6 +141,6 @@
 
     /// Whether an update with that call and version would be applied to the endpoint list.
     pub fn admits_update(&self, call: CallId, version: u64, complete: bool) -> bool {
-        self.subscription.admission(call, version, complete) == Admission::Apply
+        self.subscription.admission(call, version, complete) == UpdateDisposition::Apply
     }
 }
--- a/crates/core/src/discovery/mod.rs
+++ b/crates/core/src/discovery/mod.rs
@@ -6,4 +6,4 @@
 
 pub(crate) use calls::{is_revalidating, list_valid_until, overdue, refusal_extends_validity, retry_at};
 pub(crate) use phase::Phase;
-pub(crate) use subscription::{Admission, Subscription};
+pub(crate) use subscription::{Subscription, UpdateDisposition};
--- a/crates/core/src/discovery/subscription.rs
+++ b/crates/core/src/discovery/subscription.rs
@@ -20,7 +20,7 @@
 
 /// The treatment of an update received from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Admission {
+pub(crate) enum UpdateDisposition {
     /// The update is newer than the current list and is applied.
     Apply,
     /// The update confirms that the current list is still the latest.
@@ -142,29 +142,29 @@
     }
 
     /// Determines how to treat an update, without changing any state.
-    pub fn admission(&self, call: CallId, version: u64, complete: bool) -> Admission {
+    pub fn admission(&self, call: CallId, version: u64, complete: bool) -> UpdateDisposition {
         if let Some(former) = self.former_watch.filter(|former| former.call == call) {
             let is_newer = former.version.is_none_or(|current| version > current);
-            return if is_newer { Admission::Apply } else { Admission::Ignore };
+            return if is_newer { UpdateDisposition::Apply } else { UpdateDisposition::Ignore };
         }
         if self.call() != Some(call) {
-            return Admission::Ignore;
+            return UpdateDisposition::Ignore;
         }
         let Some(current) = self.version else {
-            return if complete { Admission::Apply } else { Admission::Reject };
+            return if complete { UpdateDisposition::Apply } else { UpdateDisposition::Reject };
         };
         if version == current && !complete {
-            return Admission::Unchanged;
+            return UpdateDisposition::Unchanged;
         }
         if version >= current {
-            return Admission::Apply;
+            return UpdateDisposition::Apply;
         }
         // A lower version on a synchronized watch is outdated. At the start of a watch it means that discovery has
         // restarted its version numbers; changes then have no base, and only a complete list can be applied.
         match (self.is_synchronized(), complete) {
-            (true, _) => Admission::Ignore,
-            (false, true) => Admission::Apply,
-            (false, false) => Admission::Reject,
+            (true, _) => UpdateDisposition::Ignore,
+            (false, true) => UpdateDisposition::Apply,
+            (false, false) => UpdateDisposition::Reject,
         }
     }
 
