--- a/crates/core/src/balancer/discovery.rs
+++ b/crates/core/src/balancer/discovery.rs
@@ -26,7 +26,7 @@
             }
             DiscoveryEvent::Connected(call) => self.subscription.connected(call),
             DiscoveryEvent::Update { call, read_at, version, complete, entries } => {
-                match self.subscription.admission(call, version, complete) {
+                match self.subscription.classify_update(call, version, complete) {
                     UpdateDisposition::Apply => {
                         self.record_received(call, read_at, Some(version), out);
                         self.apply_list(now, complete, entries);
@@ -141,6 +141,6 @@
 
     /// Whether an update with that call and version would be applied to the endpoint list.
     pub fn admits_update(&self, call: CallId, version: u64, complete: bool) -> bool {
-        self.subscription.admission(call, version, complete) == UpdateDisposition::Apply
+        self.subscription.classify_update(call, version, complete) == UpdateDisposition::Apply
     }
 }
--- a/crates/core/src/discovery/subscription.rs
+++ b/crates/core/src/discovery/subscription.rs
@@ -142,7 +142,7 @@
     }
 
     /// Determines how to treat an update, without changing any state.
-    pub fn admission(&self, call: CallId, version: u64, complete: bool) -> UpdateDisposition {
+    pub fn classify_update(&self, call: CallId, version: u64, complete: bool) -> UpdateDisposition {
         if let Some(former) = self.former_watch.filter(|former| former.call == call) {
             let is_newer = former.version.is_none_or(|current| version > current);
             return if is_newer { UpdateDisposition::Apply } else { UpdateDisposition::Ignore };
