--- a/crates/core/src/balancer/discovery.rs
+++ b/crates/core/src/balancer/discovery.rs
@@ -37,7 +37,7 @@
                 }
             }
             DiscoveryEvent::Heartbeat { call, read_at } => {
-                if self.subscription.confirms(call) {
+                if self.subscription.handle_heartbeat(call) {
                     self.record_received(call, read_at, None, out);
                 }
             }
--- a/crates/core/src/discovery/subscription.rs
+++ b/crates/core/src/discovery/subscription.rs
@@ -171,7 +171,7 @@
     /// Handles a heartbeat of a call; returns whether it confirms that the current list is still the latest. A
     /// heartbeat that is the first line of a response does not rule out earlier changes. If the call then times out
     /// without sending a list, the next call requests the complete list.
-    pub fn confirms(&mut self, call: CallId) -> bool {
+    pub fn handle_heartbeat(&mut self, call: CallId) -> bool {
         if self.former_watch.is_some_and(|former| former.call == call) {
             return true;
         }
