--- a/crates/core/src/balancer/discovery.rs
+++ b/crates/core/src/balancer/discovery.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use crate::actions::{Action, CancelReason};
 use crate::discovery::{
-    Phase, UpdateDisposition, is_revalidating, overdue, refusal_extends_validity, retry_at,
+    Phase, UpdateDisposition, cancel_reason, is_revalidating, refusal_extends_validity, retry_at,
 };
 use crate::endpoint::{Endpoint, ListScope};
 use crate::events::{CallEnd, DiscoveryEvent};
@@ -72,7 +72,7 @@
     /// Cancels a call to discovery that takes too long, and makes the next call when it is due.
     pub(super) fn update_discovery_call(&mut self, now: Millis, out: &mut Vec<Action>) {
         let may_lose_updates = self.settings.notification_bounds.is_some();
-        if may_lose_updates && let Some(reason) = overdue(self.subscription.phase(), now) {
+        if may_lose_updates && let Some(reason) = cancel_reason(self.subscription.phase(), now) {
             self.cancel_call(now, reason, out);
         }
         let makes_calls = may_lose_updates || self.settings.discovery == DiscoveryMode::OnRequest;
--- a/crates/core/src/discovery/calls.rs
+++ b/crates/core/src/discovery/calls.rs
@@ -48,7 +48,7 @@
 const BACKOFF_PUSHED: Backoff = Backoff { base: 50.0, max: 500.0 };
 
 /// The reason to cancel the open call, if one of its timeouts has expired.
-pub(crate) fn overdue(phase: Phase, now: Millis) -> Option<CancelReason> {
+pub(crate) fn cancel_reason(phase: Phase, now: Millis) -> Option<CancelReason> {
     let (deadline, reason) = match phase {
         Phase::Disconnected { .. } => return None,
         Phase::Connecting { since, .. } => (since + CONNECT_TIMEOUT, CancelReason::ConnectTimeout),
--- a/crates/core/src/discovery/mod.rs
+++ b/crates/core/src/discovery/mod.rs
@@ -4,6 +4,8 @@
 mod phase;
 mod subscription;
 
-pub(crate) use calls::{is_revalidating, list_valid_until, overdue, refusal_extends_validity, retry_at};
+pub(crate) use calls::{
+    cancel_reason, is_revalidating, list_valid_until, refusal_extends_validity, retry_at,
+};
 pub(crate) use phase::Phase;
 pub(crate) use subscription::{Subscription, UpdateDisposition};
