--- a/crates/core/src/balancer/discovery.rs
+++ b/crates/core/src/balancer/discovery.rs
@@ -22,7 +22,7 @@
             }
             DiscoveryEvent::TakeoverStarted => {
                 let notified_by = now + self.notification_bounds().after_takeover;
-                self.subscription.notified_by(notified_by);
+                self.subscription.add_notification_bound(notified_by);
             }
             DiscoveryEvent::Connected(call) => self.subscription.connected(call),
             DiscoveryEvent::Update { call, read_at, version, complete, entries } => {
--- a/crates/core/src/discovery/subscription.rs
+++ b/crates/core/src/discovery/subscription.rs
@@ -223,7 +223,7 @@
                 if std::mem::replace(&mut self.received_malformed, true) {
                     self.version = None;
                 }
-                self.notified_by(at);
+                self.add_notification_bound(at);
             }
             CallEnd::Closed if self.is_synchronized() => self.record_watch_end(at),
             CallEnd::Closed => {}
@@ -261,13 +261,13 @@
         self.failures = 0;
         self.unreachable = false;
         self.phase = Phase::Disconnected { retry_at: now };
-        self.notified_by(notified_by);
+        self.add_notification_bound(notified_by);
         abandoned
     }
 
     /// Bounds the time from which changes missing from the current list count as notified: it is at most `at`, until
     /// the list is next received.
-    pub fn notified_by(&mut self, at: Millis) {
+    pub fn add_notification_bound(&mut self, at: Millis) {
         self.notification_bound = Some(self.notification_bound.map_or(at, |bound| bound.min(at)));
     }
 
