--- a/crates/core/src/settings/json.rs
+++ b/crates/core/src/settings/json.rs
@@ -11,7 +11,7 @@
 
 /// Timeouts of backend connections, which do not affect balancing decisions.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Connections {
+pub struct ConnectionTimeouts {
     /// Longest time for establishing a connection.
     pub dial_timeout: Millis,
     /// Idle time after which backends close a connection at the latest.
@@ -70,9 +70,9 @@
 }
 
 /// Parses the connection timeouts from the same JSON object as [`parse`].
-pub fn connections(all: &Value) -> Connections {
+pub fn connections(all: &Value) -> ConnectionTimeouts {
     let ceilings = &all["ceilings"];
-    Connections {
+    ConnectionTimeouts {
         dial_timeout: number(ceilings, "dialTimeout", 250.0),
         idle_close: number(ceilings, "idleClose", 15_000.0),
     }
--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -3,7 +3,7 @@
 use std::hash::{BuildHasher, RandomState};
 
 use leadrelay_core::names::{Names, intern};
-use leadrelay_core::settings::json::Connections;
+use leadrelay_core::settings::json::ConnectionTimeouts;
 use leadrelay_core::{
     DeduplicationScope, DiscoveryMode, Idempotency, Limits, NotificationBounds, Prices, RequestClass,
     Settings, Tenant, WeightMeaning, ZoneId,
@@ -51,7 +51,7 @@
             max_memory: file.limits.memory.0 as usize,
             peers: file.peers.map(PeerAddresses::from),
             cached_list: Value::Null,
-            connections: Connections {
+            connections: ConnectionTimeouts {
                 dial_timeout: file.timeouts.connect.ms(),
                 idle_close: file.timeouts.idle.ms(),
             },
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -15,7 +15,7 @@
 
 use leadrelay_core::Settings;
 use leadrelay_core::names::Names;
-use leadrelay_core::settings::json::Connections;
+use leadrelay_core::settings::json::ConnectionTimeouts;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -152,7 +152,7 @@
     /// The names that the balancer knows by numbers.
     pub names: Names,
     /// Time-outs of connections.
-    pub connections: Connections,
+    pub connections: ConnectionTimeouts,
     /// How requests are read.
     pub dialect: Dialect,
     /// What is logged.
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use leadrelay_core::settings::json::Connections;
+use leadrelay_core::settings::json::ConnectionTimeouts;
 use leadrelay_core::{
     AffinityKey, Announcement, ClassId, ListScope, Millis, Outcome, Reconfiguration, RequestId, TenantId,
 };
@@ -47,7 +47,7 @@
 /// The settings that a reload has changed.
 pub struct Reconfigured {
     pub balancer: Reconfiguration,
-    pub connections: Connections,
+    pub connections: ConnectionTimeouts,
 }
 
 /// How an attempt ended.
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use leadrelay_core::Outcome;
-use leadrelay_core::settings::json::Connections;
+use leadrelay_core::settings::json::ConnectionTimeouts;
 use tokio::time::{Instant, timeout};
 
 use super::connection::Connection;
@@ -49,7 +49,7 @@
 impl UpstreamPool {
     /// Creates an empty pool with a budget of `max_sockets`.
     pub fn new(
-        connections: &Connections, max_sockets: usize, is_plain_http: bool, metrics: Arc<Metrics>,
+        connections: &ConnectionTimeouts, max_sockets: usize, is_plain_http: bool, metrics: Arc<Metrics>,
         memory: BodyMemory,
     ) -> Self {
         UpstreamPool {
@@ -75,7 +75,7 @@
     }
 
     /// Applies new settings.
-    pub fn reconfigure(&self, connections: &Connections) {
+    pub fn reconfigure(&self, connections: &ConnectionTimeouts) {
         self.dial_timeout.set(dial_timeout(connections));
         self.keep_alive.set_max(max_keep_alive(connections));
     }
@@ -197,12 +197,12 @@
 }
 
 /// How long a connection may take to open.
-fn dial_timeout(connections: &Connections) -> Duration {
+fn dial_timeout(connections: &ConnectionTimeouts) -> Duration {
     clamp_timeout(connections.dial_timeout)
 }
 
 /// The longest time for which a connection may be idle.
-fn max_keep_alive(connections: &Connections) -> Duration {
+fn max_keep_alive(connections: &ConnectionTimeouts) -> Duration {
     clamp_timeout(connections.idle_close * KEEP_ALIVE_FRACTION)
 }
 
