--- a/crates/core/src/settings/json.rs
+++ b/crates/core/src/settings/json.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionTimeouts {
     /// Longest time for establishing a connection.
-    pub dial_timeout: Millis,
+    pub connect_timeout: Millis,
     /// Idle time after which backends close a connection at the latest.
     pub idle_close: Millis,
 }
@@ -73,7 +73,7 @@
 pub fn connections(all: &Value) -> ConnectionTimeouts {
     let ceilings = &all["ceilings"];
     ConnectionTimeouts {
-        dial_timeout: number(ceilings, "dialTimeout", 250.0),
+        connect_timeout: number(ceilings, "dialTimeout", 250.0),
         idle_close: number(ceilings, "idleClose", 15_000.0),
     }
 }
--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -52,7 +52,7 @@
             peers: file.peers.map(PeerAddresses::from),
             cached_list: Value::Null,
             connections: ConnectionTimeouts {
-                dial_timeout: file.timeouts.connect.ms(),
+                connect_timeout: file.timeouts.connect.ms(),
                 idle_close: file.timeouts.idle.ms(),
             },
             settings,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -37,7 +37,7 @@
     /// 101 counts as served, and error responses are passed on unchanged.
     pub(super) is_plain_http: bool,
     metrics: Arc<Metrics>,
-    dial_timeout: Cell<Duration>,
+    connect_timeout: Cell<Duration>,
     keep_alive: KeepAlive,
     sockets: SocketBudget,
     /// The endpoints whose idle connections this pool closes.
@@ -56,7 +56,7 @@
             memory,
             is_plain_http,
             metrics,
-            dial_timeout: Cell::new(dial_timeout(connections)),
+            connect_timeout: Cell::new(connect_timeout(connections)),
             keep_alive: KeepAlive::new(max_keep_alive(connections)),
             sockets: SocketBudget::new(max_sockets),
             endpoints: RefCell::default(),
@@ -76,7 +76,7 @@
 
     /// Applies new settings.
     pub fn reconfigure(&self, connections: &ConnectionTimeouts) {
-        self.dial_timeout.set(dial_timeout(connections));
+        self.connect_timeout.set(connect_timeout(connections));
         self.keep_alive.set_max(max_keep_alive(connections));
     }
 
@@ -154,10 +154,10 @@
         if self.sockets.is_exhausted() {
             self.evict_longest_idle();
         }
-        let dial_timeout = self.dial_timeout.get();
-        let permit = timeout(dial_timeout, self.sockets.acquire()).await;
+        let connect_timeout = self.connect_timeout.get();
+        let permit = timeout(connect_timeout, self.sockets.acquire()).await;
         let permit = permit.map_err(|_| ConnectError::NoSocket)??;
-        timeout(dial_timeout, dial(endpoint.address, permit, self.metrics.clone())).await?
+        timeout(connect_timeout, dial(endpoint.address, permit, self.metrics.clone())).await?
     }
 
     /// Takes a connection back after an exchange, and keeps it idle if it can be reused or closes it otherwise.
@@ -197,8 +197,8 @@
 }
 
 /// How long a connection may take to open.
-fn dial_timeout(connections: &ConnectionTimeouts) -> Duration {
-    clamp_timeout(connections.dial_timeout)
+fn connect_timeout(connections: &ConnectionTimeouts) -> Duration {
+    clamp_timeout(connections.connect_timeout)
 }
 
 /// The longest time for which a connection may be idle.
