--- a/crates/core/src/settings/json.rs
+++ b/crates/core/src/settings/json.rs
@@ -15,7 +15,7 @@
     /// Longest time for establishing a connection.
     pub connect_timeout: Millis,
     /// Idle time after which backends close a connection at the latest.
-    pub idle_close: Millis,
+    pub backend_idle_timeout: Millis,
 }
 
 /// The finite, non-negative number under `key`, or `default`.
@@ -74,7 +74,7 @@
     let ceilings = &all["ceilings"];
     ConnectionTimeouts {
         connect_timeout: number(ceilings, "dialTimeout", 250.0),
-        idle_close: number(ceilings, "idleClose", 15_000.0),
+        backend_idle_timeout: number(ceilings, "idleClose", 15_000.0),
     }
 }
 
--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -53,7 +53,7 @@
             cached_list: Value::Null,
             connections: ConnectionTimeouts {
                 connect_timeout: file.timeouts.connect.ms(),
-                idle_close: file.timeouts.idle.ms(),
+                backend_idle_timeout: file.timeouts.idle.ms(),
             },
             settings,
             names,
--- a/crates/proxy/src/config/platform/tests.rs
+++ b/crates/proxy/src/config/platform/tests.rs
@@ -13,7 +13,10 @@
 fn good_file_is_read_completely() {
     let config = parse(GOOD).expect("good");
     assert_eq!((config.seed, config.max_sockets), (0x8c1f, 512));
-    assert_eq!(config.connections, ConnectionTimeouts { connect_timeout: 120.0, idle_close: 30_000.0 });
+    assert_eq!(
+        config.connections,
+        ConnectionTimeouts { connect_timeout: 120.0, backend_idle_timeout: 30_000.0 }
+    );
     assert_eq!(config.names.classes, ["page"]);
     assert_eq!(config.peers.expect("peers are allowed").peers.len(), 1);
 }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -203,7 +203,7 @@
 
 /// The longest time for which a connection may be idle.
 fn max_keep_alive(connections: &ConnectionTimeouts) -> Duration {
-    clamp_timeout(connections.idle_close * KEEP_ALIVE_FRACTION)
+    clamp_timeout(connections.backend_idle_timeout * KEEP_ALIVE_FRACTION)
 }
 
 fn clamp_timeout(timeout_ms: f64) -> Duration {
--- a/crates/proxy/src/upstream/tests.rs
+++ b/crates/proxy/src/upstream/tests.rs
@@ -52,7 +52,7 @@
 }
 
 fn new_pool(sockets: usize) -> Rc<UpstreamPool> {
-    let connections = ConnectionTimeouts { connect_timeout: 600_000.0, idle_close: 600_000.0 };
+    let connections = ConnectionTimeouts { connect_timeout: 600_000.0, backend_idle_timeout: 600_000.0 };
     let memory = BodyMemory { streamed: MemoryBudget::new(1 << 20), read_ahead: MemoryBudget::new(1 << 20) };
     let pool = UpstreamPool::new(&connections, sockets, false, Arc::default(), memory);
     pool.set_list_valid_until(list_valid_until().get());
@@ -185,7 +185,7 @@
         let state = pending_state();
         let _first = start_attempt(&pool, &first_backend, Bytes::new(), &state);
         let _first_stream = accept_request(&first_backend).await;
-        pool.reconfigure(&ConnectionTimeouts { connect_timeout: 50.0, idle_close: 600_000.0 });
+        pool.reconfigure(&ConnectionTimeouts { connect_timeout: 50.0, backend_idle_timeout: 600_000.0 });
         let second = start_attempt(&pool, &second_backend, Bytes::new(), &state);
         assert_eq!(second.await.expect("attempt panicked"), Some(Outcome::Withdrawn));
     });
