--- a/crates/core/src/settings/json.rs
+++ b/crates/core/src/settings/json.rs
@@ -70,7 +70,7 @@
 }
 
 /// Parses the connection timeouts from the same JSON object as [`parse`].
-pub fn connections(all: &Value) -> ConnectionTimeouts {
+pub fn parse_connection_timeouts(all: &Value) -> ConnectionTimeouts {
     let ceilings = &all["ceilings"];
     ConnectionTimeouts {
         connect_timeout: number(ceilings, "dialTimeout", 250.0),
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -166,7 +166,7 @@
         max_memory: max_memory(&file.limits),
         peers,
         cached_list: file.cached_list,
-        connections: settings::connections(&file.settings),
+        connections: settings::parse_connection_timeouts(&file.settings),
         settings,
         names,
         dialect: Dialect::Platform,
