--- a/crates/core/src/balancer/arrivals.rs
+++ b/crates/core/src/balancer/arrivals.rs
@@ -5,7 +5,7 @@
 use crate::actions::{Action, RejectionReason};
 use crate::endpoints::EndpointIndex;
 use crate::estimators::ClientGroup;
-use crate::events::Announcement;
+use crate::events::TimeoutAnnouncement;
 use crate::hash::rendezvous_score;
 use crate::ids::{AffinityKey, ClassId, Millis, RequestId, TenantId};
 use crate::requests::{Request, RequestSpec};
@@ -18,7 +18,7 @@
     pub key: Option<AffinityKey>,
     /// How long the client still waits, as it announced.
     pub timeout: Millis,
-    pub announcement: Announcement,
+    pub announcement: TimeoutAnnouncement,
     pub expected_cost: Option<Millis>,
 }
 
@@ -47,16 +47,16 @@
         match arrival.announcement {
             // A timeout below this margin is too short for any response, so it tells nothing about requests that get
             // one.
-            Announcement::Typical(announced) if announced >= FINAL_RESPONSE_MARGIN => {
+            TimeoutAnnouncement::Typical(announced) if announced >= FINAL_RESPONSE_MARGIN => {
                 self.client_timeouts.record(group, announced, now);
                 arrival.timeout
             }
-            Announcement::Doubtful(announced) => {
+            TimeoutAnnouncement::Doubtful(announced) => {
                 let longest = self.client_timeouts.agreed_maximum(group, now);
                 let excess = longest.map_or(0.0, |longest| (announced - longest).max(0.0));
                 arrival.timeout - excess
             }
-            Announcement::Typical(_) | Announcement::Individual => arrival.timeout,
+            TimeoutAnnouncement::Typical(_) | TimeoutAnnouncement::Individual => arrival.timeout,
         }
     }
 
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -71,7 +71,7 @@
 
 /// The timeout that a client announced with a request, and whether it is representative of other clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Announcement {
+pub enum TimeoutAnnouncement {
     /// The client announced this timeout with a first attempt that it wrote without delay: other clients of its class
     /// and tenant are assumed to wait as long.
     Typical(Millis),
@@ -110,7 +110,7 @@
         /// How long the client still waits, as it announced.
         timeout: Millis,
         /// The announced timeout as evidence for other clients of the same class and tenant.
-        announcement: Announcement,
+        announcement: TimeoutAnnouncement,
         /// The expected processing time of the request on a standard core, if known.
         expected_cost: Option<Millis>,
     },
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -46,7 +46,7 @@
 pub use decision::{ThresholdDecision, ThresholdDecisionCounts};
 pub use endpoint::{Endpoint, EndpointState, ListScope};
 pub use endpoint_status::EndpointStatus;
-pub use events::{Announcement, CallEnd, DiscoveryEvent, Event, Reconfiguration, UploadStage};
+pub use events::{CallEnd, DiscoveryEvent, Event, Reconfiguration, TimeoutAnnouncement, UploadStage};
 pub use ids::{
     AffinityKey, CallId, CellId, ClassId, EndpointId, MachineClassId, Millis, RequestId, TenantId, ZoneId,
 };
--- a/crates/core/tests/affinity.rs
+++ b/crates/core/tests/affinity.rs
@@ -17,7 +17,7 @@
             tenant: None,
             key: Some(AffinityKey(key)),
             timeout: 2000.0,
-            announcement: Announcement::Individual,
+            announcement: TimeoutAnnouncement::Individual,
             expected_cost: None,
         };
         let mut affinity_endpoints = vec![];
@@ -47,7 +47,7 @@
         tenant: None,
         key: Some(AffinityKey(id)),
         timeout: 2000.0,
-        announcement: Announcement::Individual,
+        announcement: TimeoutAnnouncement::Individual,
         expected_cost: None,
     };
     let harnesses = (0..proxies).map(|proxy_index| {
@@ -89,7 +89,7 @@
                 tenant,
                 key,
                 timeout: 2000.0,
-                announcement: Announcement::Individual,
+                announcement: TimeoutAnnouncement::Individual,
                 expected_cost,
             });
             harness.advance(100.0);
@@ -125,7 +125,7 @@
             tenant,
             key,
             timeout: 2000.0,
-            announcement: Announcement::Individual,
+            announcement: TimeoutAnnouncement::Individual,
             expected_cost,
         };
         sent += sends(&harness.handle(request)).len() + sends(&harness.advance(200.0)).len();
@@ -144,7 +144,7 @@
         tenant: None,
         key: Some(AffinityKey(100)),
         timeout: 2000.0,
-        announcement: Announcement::Individual,
+        announcement: TimeoutAnnouncement::Individual,
         expected_cost: None,
     };
     let harness = &mut harnesses[7];
@@ -177,7 +177,7 @@
                 tenant,
                 key,
                 timeout: 2000.0,
-                announcement: Announcement::Individual,
+                announcement: TimeoutAnnouncement::Individual,
                 expected_cost,
             });
             done.extend(harness.advance(50.0));
--- a/crates/core/tests/capacity.rs
+++ b/crates/core/tests/capacity.rs
@@ -139,7 +139,7 @@
         tenant: None,
         key: Some(AffinityKey(id + 1)),
         timeout: 3000.0,
-        announcement: Announcement::Individual,
+        announcement: TimeoutAnnouncement::Individual,
         expected_cost: None,
     };
     let sent: usize = (0..200).map(|id| sends(&harness.handle(keyed_request(id))).len()).sum();
--- a/crates/core/tests/client_timeouts.rs
+++ b/crates/core/tests/client_timeouts.rs
@@ -12,7 +12,9 @@
 const MAX_AGE: Millis = 5000.0;
 
 /// A request of a class and a tenant.
-fn request_of(id: u64, class: usize, tenant: usize, timeout: Millis, announcement: Announcement) -> Event {
+fn request_of(
+    id: u64, class: usize, tenant: usize, timeout: Millis, announcement: TimeoutAnnouncement,
+) -> Event {
     Event::Request {
         id: RequestId(id),
         class: ClassId(class),
@@ -25,11 +27,11 @@
 }
 
 fn typical(id: u64, timeout: Millis) -> Event {
-    request_of(id, 0, 0, timeout, Announcement::Typical(timeout))
+    request_of(id, 0, 0, timeout, TimeoutAnnouncement::Typical(timeout))
 }
 
 fn slow(id: u64) -> Event {
-    request_of(id, 0, 0, LONG, Announcement::Doubtful(LONG))
+    request_of(id, 0, 0, LONG, TimeoutAnnouncement::Doubtful(LONG))
 }
 
 /// Settings with two tenants.
@@ -97,7 +99,7 @@
 #[test]
 fn time_that_is_over_when_a_request_is_read_does_not_shorten_announcements() {
     let mut harness = busy_harness();
-    let waited = |id| request_of(id + 10, 0, 0, SHORT, Announcement::Typical(LONG));
+    let waited = |id| request_of(id + 10, 0, 0, SHORT, TimeoutAnnouncement::Typical(LONG));
     announce(&mut harness, (0..ANNOUNCEMENTS).map(waited));
     assert!(!is_judged_impatient(&mut harness));
 }
@@ -107,7 +109,7 @@
     let mut harness = busy_harness();
     announce(&mut harness, (0..ANNOUNCEMENTS).map(|id| typical(id + 10, SHORT)));
     let over = 50.0;
-    harness.handle(request_of(1, 0, 0, LONG - over, Announcement::Doubtful(LONG)));
+    harness.handle(request_of(1, 0, 0, LONG - over, TimeoutAnnouncement::Doubtful(LONG)));
     assert!(is_rejected_within(&mut harness, 1, SHORT - over));
 }
 
@@ -122,9 +124,9 @@
 fn requests_that_may_not_be_repeated_freely_keep_their_timeout() {
     for class in [1, 2] {
         let mut harness = busy_harness();
-        let short = |id| request_of(id + 10, class, 0, SHORT, Announcement::Typical(SHORT));
+        let short = |id| request_of(id + 10, class, 0, SHORT, TimeoutAnnouncement::Typical(SHORT));
         announce(&mut harness, (0..ANNOUNCEMENTS).map(short));
-        harness.handle(request_of(1, class, 0, LONG, Announcement::Doubtful(LONG)));
+        harness.handle(request_of(1, class, 0, LONG, TimeoutAnnouncement::Doubtful(LONG)));
         assert!(!is_rejected_within(&mut harness, 1, SHORT), "class {class}");
     }
 }
@@ -180,7 +182,7 @@
 fn announcements_of_other_classes_and_tenants_do_not_count() {
     for (class, tenant) in [(2, 0), (0, 1)] {
         let mut harness = busy_harness();
-        let other = |id| request_of(id + 10, class, tenant, SHORT, Announcement::Typical(SHORT));
+        let other = |id| request_of(id + 10, class, tenant, SHORT, TimeoutAnnouncement::Typical(SHORT));
         announce(&mut harness, (0..ANNOUNCEMENTS).map(other));
         assert!(!is_judged_impatient(&mut harness), "class {class}, tenant {tenant}");
     }
@@ -188,7 +190,7 @@
 
 #[test]
 fn retries_and_slow_requests_are_no_announcements() {
-    for announcement in [Announcement::Individual, Announcement::Doubtful(SHORT)] {
+    for announcement in [TimeoutAnnouncement::Individual, TimeoutAnnouncement::Doubtful(SHORT)] {
         let mut harness = busy_harness();
         announce(&mut harness, (0..ANNOUNCEMENTS).map(|id| request_of(id + 10, 0, 0, SHORT, announcement)));
         assert!(!is_judged_impatient(&mut harness), "{announcement:?}");
@@ -197,7 +199,7 @@
 
 #[test]
 fn quick_request_keeps_its_timeout_whatever_others_announce() {
-    for announcement in [Announcement::Typical(LONG), Announcement::Individual] {
+    for announcement in [TimeoutAnnouncement::Typical(LONG), TimeoutAnnouncement::Individual] {
         let mut harness = busy_harness();
         announce(&mut harness, (0..ANNOUNCEMENTS).map(|id| typical(id + 10, SHORT)));
         harness.handle(request_of(1, 0, 0, LONG, announcement));
@@ -209,7 +211,7 @@
 fn slow_request_that_announces_less_than_others_keeps_that() {
     let mut harness = busy_harness();
     announce(&mut harness, (0..ANNOUNCEMENTS).map(|id| typical(id + 10, LONG)));
-    harness.handle(request_of(1, 0, 0, SHORT, Announcement::Doubtful(SHORT)));
+    harness.handle(request_of(1, 0, 0, SHORT, TimeoutAnnouncement::Doubtful(SHORT)));
     assert!(is_rejected_within(&mut harness, 1, SHORT));
 }
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -73,7 +73,7 @@
         tenant: None,
         key: None,
         timeout,
-        announcement: Announcement::Individual,
+        announcement: TimeoutAnnouncement::Individual,
         expected_cost: None,
     }
 }
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -203,7 +203,7 @@
                     tenant,
                     key,
                     timeout,
-                    announcement: Announcement::Individual,
+                    announcement: TimeoutAnnouncement::Individual,
                     expected_cost: None,
                 });
             }
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -5,7 +5,7 @@
 
 use hyper::Response;
 use hyper::http::request;
-use leadrelay_core::{Announcement, RequestId};
+use leadrelay_core::{RequestId, TimeoutAnnouncement};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -50,15 +50,15 @@
 
 impl ReadyRequest {
     /// What its client announced. A streamed body is still being written, for how long is not known.
-    fn announcement(&self) -> Announcement {
+    fn announcement(&self) -> TimeoutAnnouncement {
         let write_time = self.arrived_at.saturating_duration_since(self.started_at);
         let timeout = self.meta.timeout.as_secs_f64() * MILLIS_PER_SECOND;
         if self.streamed || !self.meta.is_first_try {
-            Announcement::Individual
+            TimeoutAnnouncement::Individual
         } else if write_time < SLOW_WRITE {
-            Announcement::Typical(timeout)
+            TimeoutAnnouncement::Typical(timeout)
         } else {
-            Announcement::Doubtful(timeout)
+            TimeoutAnnouncement::Doubtful(timeout)
         }
     }
 }
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -5,7 +5,8 @@
 
 use leadrelay_core::settings::json::ConnectionTimeouts;
 use leadrelay_core::{
-    AffinityKey, Announcement, ClassId, ListScope, Millis, Outcome, Reconfiguration, RequestId, TenantId,
+    AffinityKey, ClassId, ListScope, Millis, Outcome, Reconfiguration, RequestId, TenantId,
+    TimeoutAnnouncement,
 };
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
@@ -73,7 +74,7 @@
     /// When the client gives up, by what it announced.
     pub deadline: Instant,
     /// What that says of clients like it.
-    pub announcement: Announcement,
+    pub announcement: TimeoutAnnouncement,
     /// How long the client waits after the last byte of its body, if the body is still being received.
     pub upload_timeout: Option<Duration>,
     pub message: UpstreamRequest,
--- a/crates/sim-adapter/src/instance/decode.rs
+++ b/crates/sim-adapter/src/instance/decode.rs
@@ -4,8 +4,8 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use leadrelay_core::names::{hash_name, intern};
 use leadrelay_core::{
-    AffinityKey, Announcement, CellId, ClassId, Endpoint, EndpointId, EndpointState, Event, ListScope,
-    MachineClassId, Outcome, RequestId, TenantId, ZoneId,
+    AffinityKey, CellId, ClassId, Endpoint, EndpointId, EndpointState, Event, ListScope, MachineClassId,
+    Outcome, RequestId, TenantId, TimeoutAnnouncement, ZoneId,
 };
 
 use super::WireNames;
@@ -82,7 +82,7 @@
             tenant: fields.optional_text("userGroup").and_then(|tenant| self.tenant_id(tenant)),
             key: fields.optional_integer("nameKey")?.map(AffinityKey),
             timeout: fields.number("timeBudget")?,
-            announcement: Announcement::Individual,
+            announcement: TimeoutAnnouncement::Individual,
             expected_cost: fields.optional_number("predicted")?,
         };
         self.requests.insert(name);
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -1,6 +1,6 @@
 //! Clients: attempts at proxies, timeouts, answers and retries.
 
-use leadrelay_core::{Announcement, ClassId, Event as ProxyEvent, Millis, RequestId, TenantId};
+use leadrelay_core::{ClassId, Event as ProxyEvent, Millis, RequestId, TenantId, TimeoutAnnouncement};
 
 use super::Simulation;
 use super::event::{Answer, Event};
@@ -126,7 +126,7 @@
             tenant: has_quotas.then_some(TenantId(request.tenant.0)),
             key: Some(request.key),
             timeout: deadline - self.now() - self.workload.latencies.client,
-            announcement: Announcement::Individual,
+            announcement: TimeoutAnnouncement::Individual,
             expected_cost: None,
         };
         self.deliver(proxy, event);
