--- a/crates/core/src/balancer/endpoint_updates.rs
+++ b/crates/core/src/balancer/endpoint_updates.rs
@@ -115,7 +115,8 @@
     pub(super) fn update_eligibility(&mut self, endpoint: EndpointIndex, now: Millis) {
         let entry = &self.endpoints[endpoint];
         let is_usable = self.outliers.is_usable(entry, now);
-        let concurrency = entry.expected_concurrency(self.settings.zone) + self.unheard_load.at(entry);
+        let concurrency =
+            entry.expected_concurrency(self.settings.zone) + self.unheard_load.on_endpoint(entry);
         let eligibility = self.eligibility(endpoint, is_usable, concurrency);
         let admission_probability = self.sharing().admission_probability(entry, concurrency);
         let slots = if is_usable { entry.slots.own_slots * entry.slow_start_factor } else { 0.0 };
--- a/crates/core/src/gossip/unheard_load.rs
+++ b/crates/core/src/gossip/unheard_load.rs
@@ -63,7 +63,7 @@
     }
 
     /// The estimated attempts of all other proxies in flight to an endpoint.
-    pub fn at(&self, entry: &EndpointEntry) -> f64 {
+    pub fn on_endpoint(&self, entry: &EndpointEntry) -> f64 {
         self.attempts_per_capacity * entry.slots.capacity
     }
 }
