--- a/crates/core/src/endpoints/table.rs
+++ b/crates/core/src/endpoints/table.rs
@@ -100,7 +100,7 @@
             self.names.mark_outdated();
         }
         let endpoint = known.unwrap_or_else(|| self.insert(EndpointEntry::new(listed.clone(), classes, now)));
-        listed.started_at = overrides.started_at(&listed);
+        listed.started_at = overrides.effective_start(&listed);
         let in_service = listed.state == EndpointState::Up && !overrides.is_in_maintenance(listed.id);
         let entry = &mut self[endpoint];
         entry.draining_since = if in_service { None } else { entry.draining_since.or(Some(now)) };
--- a/crates/core/src/operator_overrides.rs
+++ b/crates/core/src/operator_overrides.rs
@@ -53,7 +53,7 @@
 
     /// When an endpoint last started. An endpoint that returns from maintenance was most likely restarted there, and
     /// the list may show the new start time only later. Until it does, the time of the return counts as the start.
-    pub fn started_at(&mut self, listed: &Endpoint) -> Option<Millis> {
+    pub fn effective_start(&mut self, listed: &Endpoint) -> Option<Millis> {
         let Some(period) = self.returned.get(&listed.id) else { return listed.started_at };
         if listed.started_at.is_none_or(|started_at| started_at < period.out_at) {
             return Some(period.back_at);
