--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -1,5 +1,5 @@
-//! One call to discovery: a watch of the endpoint list, from its connection to its end. It has no time-outs of its own:
-//! the balancer's subscription cancels it.
+//! One call to discovery: a watch of the endpoint list, from opening its connection to the end of the call. A call
+//! applies no time-outs; the balancer's subscription cancels calls that take too long.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,37 +19,37 @@
 use super::framing::{Frame, FrameError, Framer};
 use crate::socket::Uninterrupted;
 
-/// The target of a watch, to which the version may be added.
+/// The request target of a watch. `Call::request` appends `&after=VERSION` to get only the changes after a version.
 const WATCH_TARGET: &str = "/discovery/hosts?watch=1";
 
-/// What a call reports.
+/// A report of what happened on a call.
 #[derive(Debug)]
 pub enum CallReport {
-    /// Its connection is established.
+    /// The connection of the call is established.
     Connected(CallId),
-    /// The list, or changes of it.
+    /// The call delivered the endpoint list, or changes to it.
     Update {
-        /// The call that it answers.
+        /// The call that delivered the update.
         call: CallId,
-        /// When it was read.
+        /// When the update was read from the connection.
         read_at: Instant,
-        /// What was read.
+        /// The parsed list.
         list: EndpointList,
     },
-    /// Nothing has changed.
+    /// The call delivered a heartbeat, which says that nothing has changed.
     Heartbeat {
-        /// The call that it answers.
+        /// The call that delivered the heartbeat.
         call: CallId,
-        /// When it was read.
+        /// When the heartbeat was read from the connection.
         read_at: Instant,
     },
-    /// It has ended.
+    /// The call has ended.
     Ended {
-        /// The call.
+        /// The call that ended.
         call: CallId,
-        /// When; for one that was never accepted, when it began.
+        /// When the call ended. For a call whose connection was refused, when it started.
         at: Instant,
-        /// Why.
+        /// Why the call ended.
         error: CallError,
     },
 }
@@ -57,32 +57,32 @@
 /// Why a call ended.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Its connection was not established.
-    #[error("no connection: {0}")]
+    /// The connection was not established.
+    #[error("connection failed: {0}")]
     Connect(#[source] io::Error),
-    /// The connection broke, or the response is not HTTP.
-    #[error("the connection broke: {0}")]
+    /// The connection broke, or the response is not valid HTTP.
+    #[error("broken connection or invalid response: {0}")]
     Http(#[from] hyper::Error),
-    /// It was rejected.
-    #[error("status {0}")]
+    /// Discovery responded with a status other than 200.
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The response has ended properly.
-    #[error("the watch has ended")]
+    /// Discovery ended the response, but not inside an object.
+    #[error("the watch was closed by discovery")]
     Closed,
-    /// It ended within an object.
-    #[error("the watch has ended inside an object")]
+    /// The response ended inside an object.
+    #[error("the watch ended inside an object")]
     Truncated,
-    /// What was received does not have the form of a watch.
+    /// The response body does not have the format of a watch.
     #[error(transparent)]
     Frame(#[from] FrameError),
-    /// A list can't be used.
+    /// A received list is malformed.
     #[error(transparent)]
     List(#[from] ListError),
 }
 
 impl CallError {
-    /// What it means for the subscription.
-    pub fn end(&self) -> CallEnd {
+    /// The kind of end that the balancer's subscription distinguishes.
+    pub fn call_end(&self) -> CallEnd {
         match self {
             CallError::Connect(error) if error.kind() == io::ErrorKind::ConnectionRefused => {
                 CallEnd::Unreachable
@@ -95,36 +95,37 @@
     }
 }
 
-/// A call to be made.
+/// A call to discovery that is about to be made.
 pub struct Call {
-    /// Its id.
+    /// The call's id.
     pub id: CallId,
-    /// Where discovery is.
+    /// The address of discovery.
     pub address: SocketAddr,
-    /// The version after which changes are wanted; `None` for the complete list.
+    /// Requests the changes after this version of the list; `None` requests the complete list.
     pub after: Option<u64>,
 }
 
 impl Call {
-    /// Makes the call and reports everything about it, its end included.
+    /// Makes the call and passes each event on it to `report`, including its end.
     pub async fn run(self, report: impl Fn(CallReport)) {
         let call = self.id;
         let started_at = Instant::now();
-        let error = match self.follow(&report).await {
+        let error = match self.watch(&report).await {
             Ok(()) => CallError::Closed,
             Err(error) => error,
         };
-        let at = if error.end() == CallEnd::Unreachable { started_at } else { Instant::now() };
+        let at = if error.call_end() == CallEnd::Unreachable { started_at } else { Instant::now() };
         report(CallReport::Ended { call, at, error });
     }
 
-    async fn follow(&self, report: &impl Fn(CallReport)) -> Result<(), CallError> {
+    /// Connects to discovery, requests the watch and reads it until it ends.
+    async fn watch(&self, report: &impl Fn(CallReport)) -> Result<(), CallError> {
         let stream = TcpStream::connect(self.address).await.map_err(CallError::Connect)?;
         report(CallReport::Connected(self.id));
         let (mut sender, connection) = http1::handshake(TokioIo::new(Uninterrupted(stream))).await?;
         let mut connections = JoinSet::new(); // aborts the connection's task when it is dropped
         connections.spawn_local(async move {
-            let _ = connection.await; // its end is seen in the body
+            let _ = connection.await; // `read_body` sees the end of the connection, too
         });
         let response = sender.send_request(self.request()).await?;
         if response.status() != StatusCode::OK {
@@ -133,6 +134,7 @@
         self.read_body(response.into_body(), report).await
     }
 
+    /// Reads the response body and reports each update and heartbeat in it.
     async fn read_body(&self, mut body: Incoming, report: &impl Fn(CallReport)) -> Result<(), CallError> {
         let mut framer = Framer::default();
         let mut frames = Vec::new();
@@ -161,8 +163,8 @@
             target.push_str(&format!("&after={version}"));
         }
         let mut request = Request::new(Empty::new());
-        *request.uri_mut() = target.parse().expect("digits and letters make a target");
-        let host = self.address.to_string().parse().expect("an address makes a header");
+        *request.uri_mut() = target.parse().expect("the request target consists of valid characters");
+        let host = self.address.to_string().parse().expect("an address is a valid header value");
         request.headers_mut().insert(hyper::header::HOST, host);
         request
     }
--- a/crates/proxy/src/discovery/calls.rs
+++ b/crates/proxy/src/discovery/calls.rs
@@ -9,20 +9,21 @@
 
 use super::call::{Call, CallReport};
 
-/// What the transport reports about discovery.
+/// A report about discovery, sent to the driver.
 pub enum DiscoveryReport {
-    /// Something about a call.
+    /// An event on an open call.
     Call(CallReport),
-    /// Discovery is at another address.
+    /// The address of discovery has changed.
     Moved,
 }
 
-/// The receiver of these reports. It is apart from the driver's inbox, so that they don't wait behind requests.
+/// The receiver of discovery reports. It is separate from the driver's inbox so that reports don't queue behind
+/// requests.
 pub type DiscoveryReceiver = mpsc::UnboundedReceiver<DiscoveryReport>;
 
-/// Opens and cancels calls.
+/// The open calls to discovery; opens and cancels them.
 pub struct Calls {
-    /// The present address of discovery.
+    /// The current address of discovery.
     address: watch::Receiver<SocketAddr>,
     reports: mpsc::UnboundedSender<DiscoveryReport>,
     open: FxHashMap<CallId, OpenCall>,
@@ -35,15 +36,16 @@
 }
 
 impl Calls {
-    /// No open calls, and the receiver of reports about those to come and about changes of the address.
+    /// Returns an empty set of calls, and the receiver of reports about future calls and changes of the address.
     pub fn new(address: watch::Receiver<SocketAddr>) -> (Self, DiscoveryReceiver) {
         let (reports, receiver) = mpsc::unbounded_channel();
-        spawn_local(report_moves(address.clone(), reports.clone()));
+        spawn_local(report_address_changes(address.clone(), reports.clone()));
         let calls = Calls { address, reports, open: FxHashMap::default() };
         (calls, receiver)
     }
 
-    /// Opens a call that watches the list, for the changes after a version or for the complete list.
+    /// Opens a call that watches the endpoint list. It requests the changes after version `after`, or the complete list
+    /// if that is `None`.
     pub fn open(&mut self, id: CallId, after: Option<u64>) {
         let address = *self.address.borrow();
         let call = Call { id, address, after };
@@ -53,14 +55,16 @@
         self.open.insert(id, OpenCall { address, task });
     }
 
-    /// Cancels a call: its connection is closed, and its end is not reported. Returns its address.
+    /// Cancels a call: closes its connection without reporting its end. Returns the address that was called, or `None`
+    /// if the call is not open.
     pub fn cancel(&mut self, id: CallId) -> Option<SocketAddr> {
         let call = self.open.remove(&id)?;
         call.task.abort();
         Some(call.address)
     }
 
-    /// Removes a call that has reported its end. Returns its address; `None` if it was cancelled before.
+    /// Removes a call that has reported its end. Returns the address that was called, or `None` if the call was
+    /// cancelled before.
     pub fn remove_ended(&mut self, id: CallId) -> Option<SocketAddr> {
         self.open.remove(&id).map(|call| call.address)
     }
@@ -74,8 +78,8 @@
     }
 }
 
-/// Reports each change of discovery's address until it can change no more.
-async fn report_moves(
+/// Reports each change of discovery's address until the sender of the address is dropped.
+async fn report_address_changes(
     mut address: watch::Receiver<SocketAddr>, reports: mpsc::UnboundedSender<DiscoveryReport>,
 ) {
     address.borrow_and_update();
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The form of the endpoint list.
+//! Parses the JSON form of the endpoint list.
 
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
@@ -7,37 +7,38 @@
 
 use crate::listed_endpoint::{EntryError, ListedEndpoint};
 
-/// The complete list, or what has changed in it.
+/// The complete endpoint list, or the entries that have changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList {
-    /// The version that it leads to.
+    /// The version of the list once this update is applied.
     pub version: u64,
-    /// Whether it is the complete list: what it lacks has been removed.
+    /// Whether this is the complete list: endpoints missing from it have been removed.
     pub complete: bool,
-    /// Its entries.
+    /// The entries of the list.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// Why a list can't be used. No entry of it is used then: one that can't be read may be a removal.
+/// Why a list is rejected. None of its entries is used in that case, because an entry that can't be read may be a
+/// removal.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It is not the JSON object that the protocol describes.
+    /// The text is not the JSON object that the protocol requires.
     #[error("not a list: {0}")]
     Json(#[from] serde_json::Error),
-    /// An entry can't be used.
+    /// An entry is invalid.
     #[error("entry {number}: {error}")]
     Entry {
-        /// Its place in the list, from 1.
+        /// The entry's position in the list, counted from 1.
         number: usize,
-        /// What is wrong with it.
+        /// Why the entry is invalid.
         error: EntryError,
     },
-    /// Two entries name the same endpoint and differ.
+    /// Two entries for the same endpoint differ.
     #[error("backend {0} is listed twice, with different entries")]
     Duplicate(String),
 }
 
-/// The list in the form of the protocol.
+/// The list as the protocol encodes it.
 #[derive(Deserialize)]
 struct RawList {
     #[serde(rename = "seq")]
@@ -52,7 +53,7 @@
     /// Parses one object of the protocol.
     ///
     /// # Errors
-    /// If any part of it can't be used.
+    /// If any part of the object is invalid.
     pub fn parse(text: &[u8]) -> Result<Self, ListError> {
         EndpointList::from_raw(serde_json::from_slice(text)?)
     }
@@ -64,7 +65,7 @@
             let endpoint =
                 ListedEndpoint::read(entry).map_err(|error| ListError::Entry { number: index + 1, error })?;
             match index_by_name.get(&endpoint.name) {
-                Some(&first) if endpoints[first] == endpoint => {}
+                Some(&previous) if endpoints[previous] == endpoint => {}
                 Some(_) => return Err(ListError::Duplicate(endpoint.name)),
                 None => {
                     index_by_name.insert(endpoint.name.clone(), endpoints.len());
@@ -76,7 +77,8 @@
     }
 }
 
-/// Reads the cached list of a configuration. As it may be out of date anyway, entries that can't be read are left out.
+/// Reads the cached list from the configuration; `None` if there is none or it is malformed. Invalid entries are
+/// skipped rather than rejecting the list, because a cached list may be out of date anyway.
 pub fn read_cached(list: &Value) -> Option<Vec<ListedEndpoint>> {
     if list.is_null() {
         return None;
@@ -92,7 +94,7 @@
     for entry in &raw.entries {
         match ListedEndpoint::read(entry) {
             Ok(endpoint) => endpoints.push(endpoint),
-            Err(error) => warn!(%error, "entry of the cached endpoint list ignored"),
+            Err(error) => warn!(%error, "invalid entry of the cached endpoint list ignored"),
         }
     }
     Some(endpoints)
--- a/crates/proxy/src/discovery/framing.rs
+++ b/crates/proxy/src/discovery/framing.rs
@@ -1,61 +1,63 @@
-//! Splits the body of a watch into JSON objects and heartbeats, which are empty lines. An object may be written on one
-//! line or indented over several.
+//! Splits the response body of a watch into JSON objects and heartbeats. A heartbeat is an empty line; an object may be
+//! written on one line or indented over several.
 
-/// Longest object, in bytes.
+/// Maximum length of an object, in bytes.
 const MAX_OBJECT: usize = 4 << 20;
 
 /// One message of a watch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// The text of one JSON object, complete by its brackets.
+    /// The text of one JSON object, up to the bracket that closes it. The text itself is not validated.
     Object(Vec<u8>),
     /// An empty line between objects.
     Heartbeat,
 }
 
-/// Why bytes can't be a part of a watch.
+/// Why the bytes received are not valid in a watch.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum FrameError {
-    /// An object is longer than any list.
+    /// An object exceeds `MAX_OBJECT`, which is longer than any list.
     #[error("an object of more than {MAX_OBJECT} bytes")]
     TooLong,
-    /// There is text between the objects.
+    /// There is text other than whitespace between objects.
     #[error("unexpected text between objects")]
     Unexpected,
-    /// A heartbeat came before the object was complete.
-    #[error("an object is incomplete")]
+    /// A heartbeat was received before the object was complete.
+    #[error("heartbeat inside an incomplete object")]
     Incomplete,
 }
 
 /// Splits the bytes of a watch into frames.
 #[derive(Debug, Default)]
 pub struct Framer {
+    /// The bytes received so far of the current object; empty between objects.
     object: Vec<u8>,
-    /// Open brackets.
+    /// The number of open brackets in the current object.
     depth: usize,
     in_string: bool,
+    /// Whether the next byte is escaped by a backslash.
     escaped: bool,
     /// Whether the current line has anything but whitespace.
     is_line_used: bool,
 }
 
 impl Framer {
-    /// Takes bytes and appends the frames that they complete.
+    /// Processes received bytes and appends the frames that they complete.
     ///
     /// # Errors
-    /// If they can't be a part of a watch; nothing after them can be read.
+    /// If the bytes are not valid in a watch. The rest of the watch can't be read after that.
     pub fn push(&mut self, bytes: &[u8], frames: &mut Vec<Frame>) -> Result<(), FrameError> {
-        bytes.iter().try_for_each(|&byte| self.take(byte, frames))
+        bytes.iter().try_for_each(|&byte| self.push_byte(byte, frames))
     }
 
-    /// Whether an object has started and is not complete.
+    /// Whether an object has started but is not complete yet.
     pub fn is_partial(&self) -> bool {
         !self.object.is_empty()
     }
 
-    fn take(&mut self, byte: u8, frames: &mut Vec<Frame>) -> Result<(), FrameError> {
+    fn push_byte(&mut self, byte: u8, frames: &mut Vec<Frame>) -> Result<(), FrameError> {
         if self.is_partial() {
-            return self.take_in_object(byte, frames);
+            return self.push_object_byte(byte, frames);
         }
         match byte {
             b'{' => {
@@ -74,13 +76,14 @@
         Ok(())
     }
 
-    fn take_in_object(&mut self, byte: u8, frames: &mut Vec<Frame>) -> Result<(), FrameError> {
+    fn push_object_byte(&mut self, byte: u8, frames: &mut Vec<Frame>) -> Result<(), FrameError> {
         if self.object.len() == MAX_OBJECT {
             return Err(FrameError::TooLong);
         }
         self.object.push(byte);
         if byte == b'\n' {
-            // No indented object has an empty line; a broken one is followed by the next heartbeat.
+            // Objects contain no empty lines, even if indented. An empty line is therefore the heartbeat that follows a
+            // truncated object.
             if !std::mem::take(&mut self.is_line_used) {
                 return Err(FrameError::Incomplete);
             }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,8 +1,9 @@
-//! Discovery: the calls that watch the endpoint list, and the form in which the list is received.
+//! The client of the discovery service: the calls that watch the endpoint list, and the format in which the list is
+//! received.
 //!
-//! When a call is made or cancelled, and what an update is worth, is decided by the balancer's subscription. [`Calls`]
-//! carries that out, and `call` reports what is seen of one call; neither keeps any state of the list. `framing` splits
-//! a response into messages, `endpoint_list` parses one.
+//! The balancer's subscription decides when to make or cancel a call and whether to apply an update. [`Calls`] opens
+//! and cancels the calls, and `call` reports the events on one call; neither keeps any state of the list. `framing`
+//! splits a response into messages, and `endpoint_list` parses a message.
 
 mod call;
 mod calls;
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! Framing and parsing of watches, cut and broken in all ways.
+//! Framing and parsing of watches: responses that are split at any byte, truncated or malformed.
 
 use super::endpoint_list::{EndpointList, ListError, read_cached};
 use super::framing::{Frame, FrameError, Framer};
@@ -17,8 +17,9 @@
     Frame::Object(text.as_bytes().to_vec())
 }
 
+/// Guards against a framer that loses its state between reads: the network may split a response at any byte.
 #[test]
-fn objects_and_heartbeats_are_split_however_they_are_cut() {
+fn frames_do_not_depend_on_how_the_bytes_are_split() {
     let text = "{\"a\":\"}\\\"{\"}\n\n{\"b\":[1,{}]}\r\n\r\n \t\n";
     let expected = [
         object("{\"a\":\"}\\\"{\"}"),
@@ -28,8 +29,8 @@
         Frame::Heartbeat,
     ];
     for cut in 0..text.len() {
-        let (first, rest) = text.as_bytes().split_at(cut);
-        assert_eq!(frames(&[first, rest]), Ok(expected.to_vec()), "cut at {cut}");
+        let (head, tail) = text.as_bytes().split_at(cut);
+        assert_eq!(frames(&[head, tail]), Ok(expected.to_vec()), "cut at {cut}");
     }
     let bytes: Vec<&[u8]> = text.as_bytes().chunks(1).collect();
     assert_eq!(frames(&bytes).map(|all| all.len()), Ok(expected.len()));
@@ -48,59 +49,64 @@
     }
 }
 
+/// A response that breaks off inside an object must end the watch rather than make the framer buffer all that follows.
 #[test]
-fn unfinished_object_is_seen_by_the_next_heartbeat_or_its_length() {
+fn unfinished_object_is_detected_by_the_next_heartbeat_or_by_its_length() {
     assert_eq!(frames(&[b"{\"seq\":1,\n", b"\n"]), Err(FrameError::Incomplete));
     let mut framer = Framer::default();
     let mut frames = Vec::new();
-    framer.push(b"{", &mut frames).expect("a beginning");
+    framer.push(b"{", &mut frames).expect("the start of an object is valid");
     assert!(framer.is_partial());
-    let endless = [b'1'; 1 << 16];
-    let end = (0..100).find_map(|_| framer.push(&endless, &mut frames).err());
-    assert_eq!(end, Some(FrameError::TooLong));
+    let chunk = [b'1'; 1 << 16];
+    let error = (0..100).find_map(|_| framer.push(&chunk, &mut frames).err());
+    assert_eq!(error, Some(FrameError::TooLong));
 }
 
-const GOOD: &str = r#"{"host":"s-1","dial":"127.0.0.1:9","site":"a","class":"k","block":1,"health":"up","share":1.0,"born_ms":0}"#;
+const VALID_ENTRY: &str = r#"{"host":"s-1","dial":"127.0.0.1:9","site":"a","class":"k","block":1,"health":"up","share":1.0,"born_ms":0}"#;
 
 fn list_of(entries: &[&str]) -> Result<EndpointList, ListError> {
     EndpointList::parse(format!(r#"{{"seq":7,"whole":true,"hosts":[{}]}}"#, entries.join(",")).as_bytes())
 }
 
 #[test]
-fn list_is_read_completely() {
-    let gone = r#"{"host":"s-2","health":"removed"}"#;
-    let drains = r#"{"host":"s-3","dial":null,"health":"draining","site":null}"#;
-    let list = list_of(&[GOOD, gone, drains]).expect("a list");
+fn every_entry_of_a_list_is_read() {
+    let removed = r#"{"host":"s-2","health":"removed"}"#;
+    let draining = r#"{"host":"s-3","dial":null,"health":"draining","site":null}"#;
+    let list = list_of(&[VALID_ENTRY, removed, draining]).expect("the list is valid");
     assert_eq!((list.version, list.complete), (7, true));
     let healths: Vec<Health> = list.endpoints.iter().map(|endpoint| endpoint.health).collect();
     assert_eq!(healths, [Health::Up, Health::Removed, Health::Draining]);
-    assert_eq!(list_of(&[GOOD, GOOD]).expect("said twice").endpoints.len(), 1);
+    assert_eq!(list_of(&[VALID_ENTRY, VALID_ENTRY]).expect("equal entries are allowed").endpoints.len(), 1);
 }
 
+/// An entry that can't be read may be the removal of an endpoint. Using the rest of the list would keep that endpoint
+/// in use.
 #[test]
 fn list_with_a_malformed_part_is_not_used_at_all() {
-    let entry = |text: &str| match list_of(&[GOOD, text]) {
+    let entry_error = |text: &str| match list_of(&[VALID_ENTRY, text]) {
         Err(ListError::Entry { number: 2, error }) => error,
         other => panic!("{text}: {other:?}"),
     };
     for text in ["null", "3", "{}", r#"{"host":""}"#, r#"{"host":3}"#] {
-        assert_eq!(entry(text), EntryError::NoName, "{text}");
+        assert_eq!(entry_error(text), EntryError::NoName, "{text}");
     }
     let name = String::from("s");
     for dial in ["null", "3", r#""nowhere""#, r#""127.0.0.1""#] {
         let text = format!(r#"{{"host":"s","dial":{dial},"health":"up"}}"#);
-        assert_eq!(entry(&text), EntryError::NoAddress { name: name.clone() }, "{text}");
+        assert_eq!(entry_error(&text), EntryError::NoAddress { name: name.clone() }, "{text}");
     }
     for health in ["null", "1", r#""UP""#, r#""gone""#] {
         let text = format!(r#"{{"host":"s","dial":"127.0.0.1:9","health":{health}}}"#);
         assert_eq!(
-            entry(&text),
+            entry_error(&text),
             EntryError::UnknownHealth { name: name.clone(), health: health.into() },
             "{text}"
         );
     }
-    let other = GOOD.replace("up", "draining");
-    assert!(matches!(list_of(&[GOOD, &other]), Err(ListError::Duplicate(name)) if name == "s-1"));
+    let conflicting = VALID_ENTRY.replace("up", "draining");
+    assert!(
+        matches!(list_of(&[VALID_ENTRY, &conflicting]), Err(ListError::Duplicate(name)) if name == "s-1")
+    );
     for text in
         ["{}", "[]", "", "{", r#"{"seq":-1,"whole":true,"hosts":[]}"#, r#"{"seq":1,"whole":true,"hosts":{}}"#]
     {
@@ -108,11 +114,13 @@
     }
 }
 
+/// A cached list may be out of date anyway, so one invalid entry must not leave the proxy without any endpoints.
 #[test]
-fn cached_list_is_used_as_far_as_it_can_be_read() {
-    let known = |text: &str| read_cached(&serde_json::from_str(text).expect("JSON"));
-    assert_eq!(known("null"), None);
-    assert_eq!(known(r#"{"seq":"x"}"#), None);
-    let some = known(&format!(r#"{{"seq":1,"whole":true,"hosts":[null,{GOOD}]}}"#)).expect("a list");
-    assert_eq!(some.len(), 1);
+fn invalid_entries_of_a_cached_list_are_skipped() {
+    let read = |text: &str| read_cached(&serde_json::from_str(text).expect("the text is JSON"));
+    assert_eq!(read("null"), None);
+    assert_eq!(read(r#"{"seq":"x"}"#), None);
+    let endpoints = read(&format!(r#"{{"seq":1,"whole":true,"hosts":[null,{VALID_ENTRY}]}}"#))
+        .expect("the list is valid");
+    assert_eq!(endpoints.len(), 1);
 }
--- a/crates/proxy/src/driver/attempt_report.rs
+++ b/crates/proxy/src/driver/attempt_report.rs
@@ -1,4 +1,4 @@
-//! The report of an attempt's end to the driver.
+//! Reports the end of an attempt to the driver.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,25 +10,26 @@
 use crate::inbox::{AttemptEnd, Inbox, Input};
 use crate::upstream::{UpstreamRequest, UpstreamResponse};
 
-/// Reports how an attempt ended, exactly once. An attempt whose task ends without a report counts as reset: it may have
-/// been processed.
+/// Reports how an attempt ended, exactly once. If the attempt's task ends without a report, dropping this reports the
+/// attempt as reset, because the endpoint may have processed the request.
 pub struct AttemptReport {
     pub inbox: Inbox,
     pub request: RequestId,
+    /// The number of the attempt among those of the request, from 0.
     pub attempt: u32,
     pub endpoint: EndpointId,
     pub message: Rc<UpstreamRequest>,
-    /// When the last byte of the request was sent, as far as is known.
+    /// When the last byte of the request was sent, or the start of the attempt until that is known.
     pub sent_at: Rc<Cell<Instant>>,
-    /// Whether the end has been reported.
+    /// Whether the end of the attempt has been reported.
     pub reported: bool,
 }
 
 impl AttemptReport {
-    /// Reports the end.
-    pub fn send(&mut self, outcome: Outcome, reply: Option<UpstreamResponse>) {
+    /// Reports the end of the attempt, and its response if there is one.
+    pub fn send(&mut self, outcome: Outcome, response: Option<UpstreamResponse>) {
         self.reported = true;
-        let ended_at = reply.as_ref().map_or_else(Instant::now, |reply| reply.first_byte_at);
+        let ended_at = response.as_ref().map_or_else(Instant::now, |response| response.first_byte_at);
         let latency = ended_at.saturating_duration_since(self.sent_at.get()).as_secs_f64() * 1000.0;
         if outcome != Outcome::Served {
             info!(
@@ -45,7 +46,7 @@
             attempt: self.attempt,
             latency,
             outcome,
-            reply,
+            response,
         }));
     }
 }
--- a/crates/proxy/src/driver/attempts.rs
+++ b/crates/proxy/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their start at an upstream, and what their end means for the request.
+//! Starts attempts at upstreams, and updates the request when an attempt ends.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,11 +14,12 @@
 use crate::inbox::{Answer, AttemptEnd};
 use crate::upstream::{AttemptLimits, RequestState, UpstreamEndpoint, UpstreamPool};
 
-/// Longest time-out of an attempt: it must be possible to add it to any instant.
+/// Maximum time-out of an attempt, in milliseconds, so that adding it to an instant can't overflow.
 const MAX_TIMEOUT: Millis = 1e9;
 
 impl Driver {
-    /// Starts an attempt, unless its request is closed or its endpoint takes no new requests.
+    /// Starts an attempt. If its request is closed or its endpoint takes no new requests, reports the attempt as
+    /// withdrawn instead.
     pub(super) fn start_attempt(
         &mut self, request: RequestId, endpoint: EndpointId, timeout: Option<Millis>,
         start_by: Option<Millis>,
@@ -51,14 +52,14 @@
         };
         let limits = AttemptLimits {
             deadline: attempt_deadline(open, timeout, now),
-            start_by: start_by.map(|at| self.clock.instant(at)),
+            start_by: start_by.map(|at| self.clock.to_instant(at)),
         };
         spawn_attempt(self.parts.upstreams.clone(), upstream.clone(), open, limits, report);
     }
 
-    /// An attempt has ended; a served one answers its request.
+    /// Handles the end of an attempt. If the attempt was served, its response is the final response to the request.
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
-        let AttemptEnd { request, attempt, latency, outcome, reply } = end;
+        let AttemptEnd { request, attempt, latency, outcome, response } = end;
         let Some(open) = self.open_requests.get_mut(&request) else { return };
         open.attempts_in_flight -= 1;
         let not_replayable = !open.message.is_replayable();
@@ -72,17 +73,17 @@
         );
         self.stats.record_outcome(outcome);
         self.parts.metrics.attempt_ended(outcome, latency);
-        let was_answered = open.answer.is_none();
-        match (outcome, reply) {
-            (Outcome::Served, Some(reply)) => {
-                if let Some(answer) = self.close(request, RequestState::Answered) {
-                    let _ = answer.send(Answer::Served(reply)); // the client may have disconnected
+        let had_response = open.response_sender.is_none();
+        match (outcome, response) {
+            (Outcome::Served, Some(response)) => {
+                if let Some(response_sender) = self.close(request, RequestState::Answered) {
+                    let _ = response_sender.send(Answer::Served(response)); // the client may have disconnected
                 }
             }
-            (_, Some(error)) => open.upstream_error = Some(error),
+            (_, Some(error_response)) => open.upstream_error = Some(error_response),
             (_, None) => {}
         }
-        let finished = was_answered || outcome == Outcome::Served;
+        let finished = had_response || outcome == Outcome::Served;
         self.remove_if_ended(request);
         if not_replayable {
             self.handle(Event::Upload { request, stage: UploadStage::NotReplayable });
@@ -91,7 +92,7 @@
     }
 }
 
-/// Records the start of an attempt in the log and for the access event.
+/// Logs the start of an attempt and adds it to the request's access record.
 fn record_start(
     open: &OpenRequest, attempt: u32, endpoint: EndpointId, endpoint_name: Option<&str>,
     timeout: Option<Millis>,
@@ -109,7 +110,7 @@
     }
 }
 
-/// Runs an attempt in a task of its own.
+/// Spawns a task that runs an attempt and reports its end.
 fn spawn_attempt(
     upstreams: Rc<UpstreamPool>, upstream: Rc<UpstreamEndpoint>, open: &OpenRequest, limits: AttemptLimits,
     mut report: AttemptReport,
@@ -117,12 +118,12 @@
     let state = open.state.clone();
     let message = open.message.clone();
     tokio::task::spawn_local(async move {
-        let report = |outcome, reply| report.send(outcome, reply);
+        let report = |outcome, response| report.send(outcome, response);
         upstreams.attempt(upstream, state, message, limits, report).await;
     });
 }
 
-/// When an attempt must have ended: by its own time-out or its request's deadline.
+/// The instant by which an attempt must have ended: the earlier of its own time-out and its request's deadline.
 fn attempt_deadline(open: &OpenRequest, timeout: Option<Millis>, now: Instant) -> Instant {
     match timeout {
         Some(timeout) => open.deadline.min(now + bounded_duration(timeout)),
--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -1,88 +1,93 @@
-//! The balancer's monotonic clock, and the conversion of Unix times.
+//! The balancer's monotonic clock, and the conversion of Unix times to it.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use leadrelay_core::Millis;
 use tokio::time::Instant;
 
-/// A wall clock that differs by more from what it should show has been stepped, or has been slewed this far.
+/// A wall clock that differs by this much or more from the time expected of it counts as stepped. Slewing that adds up
+/// to this much counts, too.
 const MIN_STEP: Duration = Duration::from_millis(100);
-/// An endpoint's start may seem to lie this far ahead, as clocks of machines differ.
+/// Tolerance, in milliseconds, for endpoint start times that seem to lie in the future, as the clocks of machines
+/// differ.
 pub const MAX_CLOCK_SKEW: Millis = 1000.0;
-/// Offsets of the wall clock that are remembered.
+/// Maximum number of offsets of the wall clock that are remembered.
 const MAX_OFFSETS: usize = 1024;
-/// Latest time that is converted to an instant.
+/// Latest time, in milliseconds, that can be converted to an instant; later ones are clamped to it.
 const MAX_TIME: Millis = 1e12;
 
-/// The balancer's clock: monotonic, from the start of the process. Unix times are converted here only.
+/// The balancer's clock: monotonic milliseconds since the driver started. All conversions of Unix times are done here.
 ///
-/// The wall clock may be stepped while the process runs, so its offset from this clock is kept for each step. Which of
-/// them was in force when another machine read its clock is not known.
+/// The wall clock may be stepped while the process runs, so its offset from this clock is recorded after each step. It
+/// is not known which of these offsets applied when another machine read its clock.
 pub struct Clock {
     start: Instant,
-    /// How far the wall clock was ahead, oldest first; never empty.
+    /// The recorded differences between the wall clock and this clock in milliseconds, oldest first; never empty.
     offsets: Vec<Millis>,
-    /// Steps of the wall clock that have been seen.
+    /// The number of steps of the wall clock that have been detected.
     steps: u64,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at 0 now.
     pub fn new() -> Self {
         Clock { start: Instant::now(), offsets: vec![unix_now()], steps: 0 }
     }
 
-    /// The time of an instant.
-    pub fn at(&self, instant: Instant) -> Millis {
+    /// Converts an instant to this clock's time.
+    pub fn to_millis(&self, instant: Instant) -> Millis {
         instant.saturating_duration_since(self.start).as_secs_f64() * 1000.0
     }
 
-    /// The present time.
+    /// The current time.
     pub fn now(&self) -> Millis {
-        self.at(Instant::now())
+        self.to_millis(Instant::now())
     }
 
-    /// The instant of a time.
-    pub fn instant(&self, at: Millis) -> Instant {
+    /// Converts a time of this clock to an instant.
+    pub fn to_instant(&self, at: Millis) -> Instant {
         self.start + Duration::from_secs_f64(at.clamp(0.0, MAX_TIME) / 1000.0)
     }
 
-    /// Records a step of the wall clock, if there was one.
-    pub fn follow_wall_clock(&mut self) {
+    /// Checks whether the wall clock has been stepped, and records its new offset if so.
+    pub fn check_wall_clock(&mut self) {
         let before = Instant::now();
         let unix = unix_now();
-        // A delay between the two readings can't be distinguished from a step; the next call tries again.
+        // A delay between reading the two clocks can't be distinguished from a step. Skip the check then; the next call
+        // repeats it.
         if before.elapsed() < MIN_STEP {
-            self.record_offset(unix - self.at(before));
+            self.record_offset(unix - self.to_millis(before));
         }
     }
 
     fn record_offset(&mut self, offset: Millis) {
-        if (offset - self.offset()).abs() < MIN_STEP.as_secs_f64() * 1000.0 {
+        if (offset - self.wall_clock_offset()).abs() < MIN_STEP.as_secs_f64() * 1000.0 {
             return;
         }
         if self.offsets.len() == MAX_OFFSETS {
-            self.offsets.remove(1); // the first stays: clocks of other machines may not have been stepped at all
+            self.offsets.remove(1); // keep the first offset: the clocks of other machines may never have been stepped
         }
         self.offsets.push(offset);
         self.steps += 1;
     }
 
-    /// How far the wall clock is ahead now.
-    pub fn offset(&self) -> Millis {
+    /// The current difference between the wall clock and this clock, in milliseconds.
+    pub fn wall_clock_offset(&self) -> Millis {
         self.offsets.last().copied().unwrap_or_default()
     }
 
-    /// How many steps of the wall clock have been seen.
-    pub fn steps(&self) -> u64 {
+    /// The number of steps of the wall clock that have been detected.
+    pub fn wall_clock_steps(&self) -> u64 {
         self.steps
     }
 
-    /// When an endpoint started that was listed then, by the Unix time that discovery gives; `None` for long ago.
+    /// Converts the Unix time at which an endpoint started, as given by discovery, for an endpoint that was listed at
+    /// `listed_at`. Returns `None` if it started long ago.
     ///
-    /// Of the times that it may mean the latest is taken: an endpoint that is still taken to be warming up gets fewer
-    /// requests for a while, one that is wrongly taken to be warm is overloaded.
-    pub fn at_unix(&self, unix_ms: f64, listed_at: Millis) -> Option<Millis> {
+    /// After a step of the wall clock, a Unix time may stand for several times of this clock. The latest possible one
+    /// is returned: an endpoint wrongly considered to be warming up only gets fewer requests for a while, but one
+    /// wrongly considered warm is overloaded.
+    pub fn start_time_from_unix(&self, unix_ms: f64, listed_at: Millis) -> Option<Millis> {
         if !unix_ms.is_finite() || unix_ms <= 0.0 {
             return None;
         }
--- a/crates/proxy/src/driver/endpoint_updates.rs
+++ b/crates/proxy/src/driver/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! Where endpoint lists arrive: from discovery's calls, from the configuration, from a predecessor. Opens and cancels
-//! the calls for the balancer, and follows whether the list may be used.
+//! Handles endpoint lists from discovery, from the configuration and from a predecessor process. Opens and cancels
+//! calls to discovery for the balancer, and tracks whether the endpoint list is valid.
 
 use std::time::Duration;
 
@@ -10,34 +10,34 @@
 use tracing::{info, warn};
 
 use super::Driver;
-use super::endpoints::Context;
+use super::endpoints::ListContext;
 use super::start_times::ListTime;
 use crate::discovery::{CallError, CallReport, Calls, DiscoveryReceiver, DiscoveryReport, EndpointList};
 use crate::listed_endpoint::ListedEndpoint;
 
-/// The age and the state of the endpoint list.
+/// The age and the validity of the endpoint list.
 pub struct ListStatus {
-    /// When discovery was last heard from.
+    /// When the last message from discovery was read, or the start of the process if there was none.
     pub(super) last_message_at: Instant,
-    /// Whether requests may be sent by the list.
+    /// Whether the list is recent enough to send requests by it.
     pub(super) is_valid: bool,
-    /// Whether there is a cached list that names an endpoint in use.
-    pub(super) has_cached: bool,
+    /// Whether a cached list has been applied that has an endpoint in state `Up`.
+    pub(super) has_cached_list: bool,
 }
 
 impl ListStatus {
     /// The status at the start of the process.
     pub fn new() -> Self {
-        ListStatus { last_message_at: Instant::now(), is_valid: true, has_cached: false }
+        ListStatus { last_message_at: Instant::now(), is_valid: true, has_cached_list: false }
     }
 
-    /// How long discovery has been silent.
+    /// The time since the last message from discovery.
     pub fn age(&self) -> Duration {
         self.last_message_at.elapsed()
     }
 }
 
-/// The next report about discovery; pending for ever if there is no discovery.
+/// Waits for the next report about discovery. Stays pending forever if the endpoint list is fixed.
 pub async fn next_report(discovery: &mut Option<(Calls, DiscoveryReceiver)>) -> Option<DiscoveryReport> {
     match discovery {
         Some((_, reports)) => reports.recv().await,
@@ -46,7 +46,7 @@
 }
 
 impl Driver {
-    /// Handles what the transport reports about discovery.
+    /// Handles a report about discovery.
     pub(super) fn handle_discovery(&mut self, report: DiscoveryReport) {
         match report {
             DiscoveryReport::Moved => self.handle(Event::Discovery(DiscoveryEvent::Moved)),
@@ -59,7 +59,7 @@
             CallReport::Connected(call) => self.handle(Event::Discovery(DiscoveryEvent::Connected(call))),
             CallReport::Heartbeat { call, read_at } => {
                 self.list_status.last_message_at = read_at;
-                let read_at = self.clock.at(read_at);
+                let read_at = self.clock.to_millis(read_at);
                 self.handle(Event::Discovery(DiscoveryEvent::Heartbeat { call, read_at }));
             }
             CallReport::Update { call, read_at, list } => self.handle_update(call, read_at, list),
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Handles the end of a call; a cancelled one has been reported already.
+    /// Handles the end of a call. Ignores calls that were cancelled, as their cancellation has already been logged.
     fn handle_call_end(&mut self, call: CallId, at: Instant, error: &CallError) {
-        let ended = self.calls().and_then(|calls| calls.remove_ended(call));
-        let Some(address) = ended else { return };
+        let called_address = self.calls().and_then(|calls| calls.remove_ended(call));
+        let Some(address) = called_address else { return };
         self.stats.discovery_calls_failed += 1;
-        let end = error.end();
+        let end = error.call_end();
         match end {
             CallEnd::Malformed => {
                 let version = self.balancer.list_version();
@@ -82,11 +82,11 @@
                 info!(%address, call = call.0, %error, "discovery call ended");
             }
         }
-        let at = self.clock.at(at);
+        let at = self.clock.to_millis(at);
         self.handle(Event::Discovery(DiscoveryEvent::Ended { call, at, end }));
     }
 
-    /// Handles a list, or changes of one, that a call has delivered.
+    /// Handles a complete list, or changes to it, that a call has delivered.
     fn handle_update(&mut self, call: CallId, read_at: Instant, list: EndpointList) {
         let EndpointList { version, complete, endpoints } = list;
         let admitted = self.balancer.admits_update(call, version, complete);
@@ -97,34 +97,35 @@
             }
             false => info!(call = call.0, version, complete, "endpoint list update ignored"),
         }
-        // Upstreams change first, as the balancer may send by the new list at once. A list that it would not admit
-        // changes none.
+        // Update the upstreams first, because the balancer may send requests by the new list at once. A list that the
+        // balancer does not admit must not change them.
         let entries = if admitted { self.apply_to_upstreams(complete, endpoints) } else { Vec::new() };
         self.list_status.last_message_at = read_at;
-        let read_at = self.clock.at(read_at);
+        let read_at = self.clock.to_millis(read_at);
         self.handle(Event::Discovery(DiscoveryEvent::Update { call, read_at, version, complete, entries }));
         if admitted && complete {
             self.become_ready();
         }
     }
 
-    /// Applies a list that is fixed or cached.
+    /// Applies a fixed list, or a cached one.
     pub(super) fn apply_list(&mut self, scope: ListScope, endpoints: Vec<ListedEndpoint>) {
         let entries = self.apply_to_upstreams(true, endpoints);
-        let in_use = entries.iter().any(|entry| entry.state == EndpointState::Up);
+        let has_usable_endpoint = entries.iter().any(|entry| entry.state == EndpointState::Up);
         self.handle(Event::List { scope, entries });
         match scope {
             ListScope::Full => self.become_ready(),
-            ListScope::Cached => self.list_status.has_cached |= in_use,
+            ListScope::Cached => self.list_status.has_cached_list |= has_usable_endpoint,
             ListScope::Delta | ListScope::Failed => {}
         }
     }
 
+    /// Updates the upstreams from a list, and returns the list's entries for the balancer.
     fn apply_to_upstreams(&mut self, complete: bool, endpoints: Vec<ListedEndpoint>) -> Vec<Endpoint> {
-        self.clock.follow_wall_clock();
-        let mut context = Context {
+        self.clock.check_wall_clock();
+        let mut context = ListContext {
             balancer: &self.balancer,
-            time: ListTime { clock: &self.clock, former_confirmed_at: self.balancer.list_confirmed_at() },
+            time: ListTime { clock: &self.clock, previous_confirmed_at: self.balancer.list_confirmed_at() },
             names: &mut self.names,
             upstreams: &self.parts.upstreams,
         };
@@ -141,8 +142,8 @@
 
     /// Cancels a call to discovery.
     pub(super) fn unsubscribe(&mut self, call: CallId, reason: CancelReason) {
-        let cancelled = self.calls().and_then(|calls| calls.cancel(call));
-        let Some(address) = cancelled else { return };
+        let called_address = self.calls().and_then(|calls| calls.cancel(call));
+        let Some(address) = called_address else { return };
         if reason != CancelReason::Moved {
             self.stats.discovery_calls_failed += 1;
         }
@@ -153,11 +154,12 @@
         self.parts.discovery.as_mut().map(|(calls, _)| calls)
     }
 
-    /// Passes on to the upstreams until when the list is valid: after that they write no request's first byte.
-    pub(super) fn follow_list_validity(&mut self) {
+    /// Updates the time until which the upstreams may use the endpoint list: they don't write the first byte of a
+    /// request after it. Logs when the list becomes stale or valid again.
+    pub(super) fn update_list_validity(&mut self) {
         let valid_until = self.balancer.list_valid_until();
-        self.parts.upstreams.set_list_valid_until(self.clock.instant(valid_until));
-        let is_valid = self.clock.at(Instant::now()) < valid_until;
+        self.parts.upstreams.set_list_valid_until(self.clock.to_instant(valid_until));
+        let is_valid = self.clock.to_millis(Instant::now()) < valid_until;
         let was_valid = std::mem::replace(&mut self.list_status.is_valid, is_valid);
         if is_valid == was_valid {
             return;
--- a/crates/proxy/src/driver/endpoints.rs
+++ b/crates/proxy/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! The listed endpoints: where each is, and whether new requests may be sent there.
+//! The listed endpoints: their addresses, upstreams and start times, and whether new requests may be sent to them.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -12,15 +12,17 @@
 use crate::listed_endpoint::{Health, ListedEndpoint};
 use crate::upstream::{UpstreamEndpoint, UpstreamPool};
 
-/// Zones, and machine classes, that are distinguished: bounds memory, as discovery may name ever new ones.
+/// Maximum number of distinct zones, and of distinct machine classes. Bounds memory, as discovery may keep sending new
+/// names.
 const MAX_NAMES: usize = 4096;
-/// Endpoints whose ids are remembered after they have left the list.
+/// Maximum number of endpoint ids that are remembered, whether the endpoints are still listed or not.
 const MAX_REMEMBERED: usize = 10_000;
 
-/// What is needed to make the upstream and the balancer's entry of an endpoint.
-pub struct Context<'a> {
+/// The state of the driver that is needed to create an endpoint's upstream and its entry for the balancer.
+pub struct ListContext<'a> {
     pub balancer: &'a Balancer,
     pub time: ListTime<'a>,
+    /// The names of zones and machine classes. New ones are added.
     pub names: &'a mut Names,
     pub upstreams: &'a UpstreamPool,
 }
@@ -29,16 +31,17 @@
 #[derive(Default)]
 pub struct Endpoints {
     upstreams: FxHashMap<EndpointId, Rc<UpstreamEndpoint>>,
-    /// The present list.
+    /// The entries of the current list.
     listed: FxHashMap<EndpointId, ListedEndpoint>,
     start_times: StartTimes,
     ever_listed: RememberedIds,
 }
 
 impl Endpoints {
-    /// Applies a list; returns its entries for the balancer. Endpoints that a complete list lacks get no new requests.
+    /// Applies a list, and returns its entries for the balancer. Endpoints missing from a complete list get no new
+    /// requests.
     pub fn apply(
-        &mut self, complete: bool, endpoints: Vec<ListedEndpoint>, context: &mut Context,
+        &mut self, complete: bool, endpoints: Vec<ListedEndpoint>, context: &mut ListContext,
     ) -> Vec<Endpoint> {
         if complete {
             self.listed.clear();
@@ -53,7 +56,7 @@
         entries
     }
 
-    /// Drops the endpoints that are not listed. Attempts in flight keep what they need of them.
+    /// Drops the upstreams of endpoints that are not in `listed`. Attempts in flight hold their own references to them.
     fn retain(&mut self, listed: &FxHashSet<EndpointId>) {
         self.upstreams.retain(|id, upstream| {
             let is_listed = listed.contains(id);
@@ -64,19 +67,22 @@
         });
     }
 
-    fn apply_entry(&mut self, endpoint: ListedEndpoint, context: &mut Context) -> Endpoint {
+    fn apply_entry(&mut self, endpoint: ListedEndpoint, context: &mut ListContext) -> Endpoint {
         let id = EndpointId(hash_name(&endpoint.name));
         self.ever_listed.add(id);
         let state = endpoint_state(&endpoint);
-        self.connect(id, &endpoint, context);
+        self.ensure_upstream(id, &endpoint, context);
         if let Some(upstream) = self.upstreams.get(&id) {
             upstream.set_open(state == EndpointState::Up);
         }
         let entry = Endpoint {
             id,
-            zone: number_of(&mut context.names.zones, endpoint.zone.as_deref()).map(ZoneId),
-            machine_class: number_of(&mut context.names.machine_classes, endpoint.machine_class.as_deref())
-                .map(MachineClassId),
+            zone: intern_bounded(&mut context.names.zones, endpoint.zone.as_deref()).map(ZoneId),
+            machine_class: intern_bounded(
+                &mut context.names.machine_classes,
+                endpoint.machine_class.as_deref(),
+            )
+            .map(MachineClassId),
             cell: endpoint.cell.map(CellId),
             state,
             weight: endpoint.weight.unwrap_or(1.0),
@@ -97,18 +103,20 @@
         entry
     }
 
-    /// Allows for steps of the wall clock. Returns listed endpoints that may have started later than was known.
+    /// Corrects start times after steps of the wall clock. Returns the listed endpoints that may have started later
+    /// than recorded, with their corrected start times.
     pub fn correct_start_times(&mut self, clock: &Clock) -> Vec<(EndpointId, Millis)> {
         self.start_times.correct(clock)
     }
 
-    /// Makes the upstream of an endpoint's process, unless there is one for that process at that address.
-    fn connect(&mut self, id: EndpointId, endpoint: &ListedEndpoint, context: &mut Context) {
+    /// Creates the upstream of an endpoint, unless there already is one with the same address and start time. An
+    /// upstream that it replaces gets no new requests.
+    fn ensure_upstream(&mut self, id: EndpointId, endpoint: &ListedEndpoint, context: &mut ListContext) {
         let Some(address) = endpoint.address else { return };
-        let is_same = |upstream: &Rc<UpstreamEndpoint>| {
+        let is_same_process = |upstream: &Rc<UpstreamEndpoint>| {
             upstream.address == address && upstream.started_unix_ms == endpoint.started_unix_ms
         };
-        if self.upstreams.get(&id).is_some_and(is_same) {
+        if self.upstreams.get(&id).is_some_and(is_same_process) {
             return;
         }
         let upstream = UpstreamEndpoint::new(address, endpoint.started_unix_ms);
@@ -119,7 +127,7 @@
         }
     }
 
-    /// The socket side of an endpoint.
+    /// The upstream of an endpoint, if it has one.
     pub fn upstream(&self, id: EndpointId) -> Option<&Rc<UpstreamEndpoint>> {
         self.upstreams.get(&id)
     }
@@ -129,28 +137,28 @@
         self.listed.get(&id).map(|endpoint| endpoint.name.as_str())
     }
 
-    /// The present list.
+    /// The entries of the current list.
     pub fn listed(&self) -> impl Iterator<Item = &ListedEndpoint> {
         self.listed.values()
     }
 
-    /// Whether an endpoint has ever been listed.
+    /// Whether an endpoint is or was listed, as far as remembered.
     pub fn was_listed(&self, id: EndpointId) -> bool {
         self.ever_listed.ids.contains(&id)
     }
 
-    /// The endpoints that have ever been listed.
+    /// The endpoints that are or were listed, as far as remembered.
     pub fn ever_listed(&self) -> impl Iterator<Item = EndpointId> {
         self.ever_listed.ids.iter().copied()
     }
 
-    /// Remembers an endpoint that a predecessor process has seen listed.
+    /// Remembers an endpoint that was listed in the other process of this proxy during an upgrade.
     pub fn remember(&mut self, id: EndpointId) {
         self.ever_listed.add(id);
     }
 }
 
-/// An endpoint without an address gets no new requests.
+/// The balancer's state for a listed endpoint. An endpoint without an address gets no new requests.
 fn endpoint_state(endpoint: &ListedEndpoint) -> EndpointState {
     match endpoint.health {
         Health::Up if endpoint.address.is_some() => EndpointState::Up,
@@ -159,11 +167,11 @@
     }
 }
 
-/// The ids of the endpoints that were listed last, whether listed at present or not.
+/// The ids of the latest endpoints to be listed, at most `MAX_REMEMBERED`. They may have left the list since.
 #[derive(Default)]
 struct RememberedIds {
     ids: FxHashSet<EndpointId>,
-    /// Oldest first.
+    /// The same ids, in the order in which they were added.
     order: VecDeque<EndpointId>,
 }
 
@@ -176,13 +184,14 @@
         if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
-            self.ids.remove(&oldest); // if it is still listed, its next entry adds it again
+            self.ids.remove(&oldest); // if the endpoint is still listed, its next list entry adds its id again
         }
     }
 }
 
-/// The number of a zone or machine class; beyond `MAX_NAMES` of them a new name has none.
-fn number_of(names: &mut Vec<String>, name: Option<&str>) -> Option<u32> {
+/// Returns the number of a zone or machine class, and adds the name if it is new. Returns `None` for a new name once
+/// there are `MAX_NAMES` of them.
+fn intern_bounded(names: &mut Vec<String>, name: Option<&str>) -> Option<u32> {
     let name = name?;
     let number = match names.iter().position(|known| known == name) {
         Some(number) => number,
--- a/crates/proxy/src/driver/housekeeping.rs
+++ b/crates/proxy/src/driver/housekeeping.rs
@@ -1,4 +1,5 @@
-//! Periodic work: gauges, idle connections, readiness, the handover file, the statistics in the log.
+//! Periodic work of the driver: updates gauges, closes idle connections, sets readiness, maintains the handover file
+//! and logs statistics.
 
 use std::time::Duration;
 
@@ -8,16 +9,16 @@
 
 use super::Driver;
 
-/// Interval between updates of the gauges and looks at the handover file.
+/// Interval between updates of the gauges, and between checks of the handover file.
 const GAUGE_INTERVAL: Duration = Duration::from_millis(100);
-/// Interval between sweeps of idle connections and saves of the handover file.
+/// Interval between sweeps of idle connections, and between saves of the handover file.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval between log events with the statistics.
 const STATS_INTERVAL: Duration = Duration::from_secs(5);
 /// With a cached endpoint list, the proxy is ready this long after its start even if discovery has not responded.
 const CACHED_LIST_READY_DELAY: Duration = Duration::from_millis(500);
 /// Without a cached endpoint list, the proxy is ready this long after its start and rejects requests until discovery
-/// responds: a proxy that never gets ready would be taken for one that does not start.
+/// responds. A proxy that never became ready would look like one that fails to start.
 const NO_LIST_READY_DELAY: Duration = Duration::from_secs(5);
 
 /// When each kind of periodic work is due next.
@@ -29,7 +30,7 @@
 }
 
 impl Schedule {
-    /// The schedule of a driver that starts now.
+    /// Creates the schedule of a driver that starts now.
     pub fn new() -> Self {
         let started_at = Instant::now();
         Schedule {
@@ -40,27 +41,27 @@
         }
     }
 
-    /// When the next work is due. The statistics are logged at a sweep only.
+    /// When the next periodic work is due. Statistics are logged only during a sweep, so their due time does not count.
     pub fn next_due_at(&self) -> Instant {
         self.sweep_due_at.min(self.gauges_due_at)
     }
 }
 
 impl Driver {
-    /// Does the periodic work that is due.
+    /// Performs the periodic work that is due.
     pub(super) fn housekeeping(&mut self, schedule: &mut Schedule, now: Instant) {
         if now >= schedule.gauges_due_at {
-            self.clock.follow_wall_clock();
+            self.clock.check_wall_clock();
             self.correct_start_times();
             self.update_gauges();
             self.parts.upstreams.close_expired();
             self.become_ready_without_discovery(schedule.started_at);
-            self.follow_handover();
+            self.sync_with_handover_file();
             schedule.gauges_due_at = now + GAUGE_INTERVAL;
         }
         if now >= schedule.sweep_due_at {
             self.parts.upstreams.sweep();
-            self.check_handover();
+            self.maintain_handover_file();
             schedule.sweep_due_at = now + SWEEP_INTERVAL;
             if now >= schedule.stats_due_at {
                 self.stats.log_and_reset(&self.parts.metrics, self.list_status.age());
@@ -69,8 +70,9 @@
         }
     }
 
+    /// Becomes ready although discovery has not sent a list, if the process has waited long enough for it.
     fn become_ready_without_discovery(&mut self, started_at: Instant) {
-        let delay = match self.list_status.has_cached {
+        let delay = match self.list_status.has_cached_list {
             true => CACHED_LIST_READY_DELAY,
             false => NO_LIST_READY_DELAY,
         };
@@ -79,17 +81,18 @@
         }
     }
 
-    /// What was listed while the wall clock was wrong may have started later than it seemed.
+    /// Corrects start times after a step of the wall clock. Endpoints listed while the wall clock was wrong may have
+    /// started later than their entries suggested.
     fn correct_start_times(&mut self) {
-        let starts = self.endpoints.correct_start_times(&self.clock);
-        if !starts.is_empty() {
-            info!(endpoints = starts.len(), "start times corrected after a step of the wall clock");
-            self.handle(Event::StartTimes(starts));
+        let corrected = self.endpoints.correct_start_times(&self.clock);
+        if !corrected.is_empty() {
+            info!(endpoints = corrected.len(), "start times corrected after a step of the wall clock");
+            self.handle(Event::StartTimes(corrected));
         }
     }
 
     fn update_gauges(&self) {
-        let now = self.clock.at(Instant::now());
+        let now = self.clock.to_millis(Instant::now());
         self.parts.metrics.set_gauges(&self.balancer.gauges(now));
     }
 }
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -1,15 +1,16 @@
-//! The owner of the [`Balancer`]: passes it every event and carries out its actions in order.
+//! The event loop around the [`Balancer`]: passes every event to the balancer and carries out the resulting actions in
+//! order.
 //!
 //! [`Driver`], its event loop and the dispatch of inputs, timers and actions are in this file; its other methods are in
 //! the modules below.
 //!
-//! - `endpoint_updates`: where an endpoint list arrives; `endpoints` has the listed endpoints and their upstreams,
-//!   `start_times` when they started
-//! - `operator_commands`: where a drain or an endpoint's maintenance arrives
-//! - `takeover`: what is taken from a predecessor process and what is written for a successor
-//! - `open_requests`, `attempts`, `attempt_report`: a request from its arrival to its answer
-//! - `housekeeping`: what happens in each period; `periodic_stats` is what it logs
-//! - `clock`, `timers`: time
+//! - `endpoint_updates` handles endpoint lists; `endpoints` holds the listed endpoints and their upstreams, and
+//!   `start_times` their start times
+//! - `operator_commands` handles commands to drain the proxy or to put an endpoint into maintenance
+//! - `takeover` restores state from a predecessor process and saves state for a successor
+//! - `open_requests`, `attempts` and `attempt_report` handle a request from its arrival to its final response
+//! - `housekeeping` does periodic work; `periodic_stats` holds the statistics that it logs
+//! - `clock` and `timers` provide the balancer's clock and the timer queue
 
 mod attempt_report;
 mod attempts;
@@ -54,20 +55,22 @@
 /// The other parts of the proxy that the driver uses.
 pub struct Parts {
     pub classes: Rc<RefCell<Classes>>,
+    /// Receives operators' commands.
     pub commands: mpsc::UnboundedReceiver<CommandRequest>,
     pub inbox: Inbox,
     pub upstreams: Rc<UpstreamPool>,
+    /// The socket for gossip with the other proxies, if there is one.
     pub peers: Option<Rc<Peers>>,
     /// The calls to discovery and their reports; `None` if the endpoint list is fixed.
     pub discovery: Option<(Calls, DiscoveryReceiver)>,
     pub metrics: Arc<Metrics>,
-    /// Whether operators have drained the proxy.
+    /// Whether an operator has drained the proxy.
     pub drained: Rc<Cell<bool>>,
-    /// The handover file, where two processes of this proxy may overlap.
+    /// The handover file; `None` if no two processes of this proxy ever run at the same time.
     pub handover: Option<Rc<Handover>>,
 }
 
-/// Runs the balancer on what the other parts report.
+/// Runs the balancer on the events that the other parts of the proxy report.
 pub struct Driver {
     balancer: Balancer,
     names: Names,
@@ -76,18 +79,18 @@
     endpoints: Endpoints,
     open_requests: FxHashMap<RequestId, OpenRequest>,
     timers: TimerQueue,
-    /// An empty buffer, reused from event to event.
+    /// An empty buffer for the balancer's actions, kept to reuse its allocation.
     actions: Vec<Action>,
     stats: PeriodicStats,
     list_status: ListStatus,
-    /// Whether the balancer has been told of an overlapping process.
-    overlapping_process: bool,
-    /// By when every request must be answered, once the process shuts down.
+    /// Whether another process of this proxy overlapped with this one when last checked.
+    has_overlapping_process: bool,
+    /// The instant by which every request must have its response; `None` unless the process is shutting down.
     shutdown_deadline: Option<Instant>,
 }
 
 impl Driver {
-    /// A driver without endpoints and requests.
+    /// Creates a driver without endpoints and requests.
     pub fn new(balancer: Balancer, names: Names, parts: Parts) -> Self {
         Driver {
             balancer,
@@ -100,7 +103,7 @@
             actions: Vec::new(),
             stats: PeriodicStats::default(),
             list_status: ListStatus::new(),
-            overlapping_process: false,
+            has_overlapping_process: false,
             shutdown_deadline: None,
         }
     }
@@ -112,7 +115,7 @@
             let housekeeping_at = schedule.next_due_at();
             let wake_at = self.timers.next_due_at().map_or(housekeeping_at, |at| at.min(housekeeping_at));
             tokio::select! {
-                biased; // operators wait for a reply, and their commands go before clients' requests
+                biased; // operators wait for a reply, so their commands take precedence over clients' requests
                 Some(command) = self.parts.commands.recv() => self.handle_command(command),
                 Some(report) = next_report(&mut self.parts.discovery) => self.handle_discovery(report),
                 () = sleep_until(wake_at) => {}
@@ -127,18 +130,18 @@
         }
     }
 
-    /// Runs the timers that are due, those included that are added meanwhile.
+    /// Runs the timers that are due, including those added in the meantime.
     fn run_timers(&mut self, now: Instant) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::Balancer(token) => self.handle(Event::Timer(token)),
-                Timer::AnswerDue(id) => self.answer_due(id, now),
-                Timer::ShutdownDeadline => self.answer_all(),
+                Timer::ResponseDue(id) => self.respond_if_due(id, now),
+                Timer::ShutdownDeadline => self.respond_to_all(),
             }
         }
     }
 
-    /// Handles what another part reports.
+    /// Handles an input from another part of the proxy.
     fn handle_input(&mut self, input: Input) {
         match input {
             Input::Request(arrival) => self.accept(*arrival),
@@ -167,19 +170,19 @@
 
     /// Passes an event to the balancer and carries out its actions.
     fn handle(&mut self, event: Event) {
-        let now = self.clock.at(Instant::now());
+        let now = self.clock.to_millis(Instant::now());
         let mut actions = std::mem::take(&mut self.actions);
         let violations_before = *self.balancer.violations();
         self.balancer.handle(now, event, &mut actions);
         let violations = self.balancer.violations();
         if *violations != violations_before {
-            error!(?violations, "decision breaks an invariant and is not carried out");
+            error!(?violations, "decision violates an invariant and was not carried out");
         }
         for action in actions.drain(..) {
             self.carry_out(action);
         }
         self.actions = actions;
-        self.follow_list_validity();
+        self.update_list_validity();
     }
 
     fn carry_out(&mut self, action: Action) {
@@ -189,7 +192,7 @@
             }
             Action::Reject { request, retry_after, reason } => self.reject(request, retry_after, reason),
             Action::Fail(request) => self.fail(request),
-            Action::Timer { token, at } => self.timers.add(self.clock.instant(at), Timer::Balancer(token)),
+            Action::Timer { token, at } => self.timers.add(self.clock.to_instant(at), Timer::Balancer(token)),
             Action::Broadcast(bytes) => self.broadcast(&bytes),
             Action::Subscribe { call, after } => self.subscribe(call, after),
             Action::Unsubscribe { call, reason } => self.unsubscribe(call, reason),
--- a/crates/proxy/src/driver/operator_commands.rs
+++ b/crates/proxy/src/driver/operator_commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands: drain the proxy, put an endpoint into maintenance, end its maintenance.
+//! Operators' commands: drain the proxy or end its drain, start or end the maintenance of an endpoint.
 
 use leadrelay_core::names::hash_name;
 use leadrelay_core::{EndpointId, Event};
@@ -8,15 +8,15 @@
 use crate::admin::{Command, CommandRequest};
 
 impl Driver {
-    /// Carries out an operator's command, and replies once it is in effect and recorded for a successor.
+    /// Carries out an operator's command, and replies once the command is in effect and recorded for a successor.
     pub(super) fn handle_command(&mut self, CommandRequest { command, reply }: CommandRequest) {
         match command {
             Command::Drain(draining) => {
                 self.set_drained(draining);
                 self.record_for_successor(reply, move |shared| shared.drained = draining);
             }
-            Command::StartMaintenance(name) => self.command_maintenance(&name, true, reply),
-            Command::EndMaintenance(name) => self.command_maintenance(&name, false, reply),
+            Command::StartMaintenance(name) => self.handle_maintenance_command(&name, true, reply),
+            Command::EndMaintenance(name) => self.handle_maintenance_command(&name, false, reply),
         }
     }
 
@@ -27,8 +27,9 @@
         }
     }
 
-    /// Starts or ends an endpoint's maintenance; refused if the endpoint has never been listed.
-    fn command_maintenance(&mut self, name: &str, enabled: bool, reply: oneshot::Sender<bool>) {
+    /// Handles a command to start or end an endpoint's maintenance. Rejects the command if the endpoint has never been
+    /// listed.
+    fn handle_maintenance_command(&mut self, name: &str, enabled: bool, reply: oneshot::Sender<bool>) {
         let id = EndpointId(hash_name(name));
         if !self.endpoints.was_listed(id) {
             let _ = reply.send(false); // the caller may have disconnected
@@ -36,7 +37,7 @@
         }
         self.set_maintenance(id, enabled);
         self.record_for_successor(reply, move |shared| {
-            shared.in_maintenance.retain(|other| *other != id.0);
+            shared.in_maintenance.retain(|other_id| *other_id != id.0);
             shared.in_maintenance.extend(enabled.then_some(id.0));
         });
     }
--- a/crates/proxy/src/driver/periodic_stats.rs
+++ b/crates/proxy/src/driver/periodic_stats.rs
@@ -7,12 +7,13 @@
 
 use crate::metrics::Metrics;
 
-/// Counts since the last log event. Summed over the logs of all proxies they show load that is harmless from one
-/// proxy alone.
+/// Counts since the last log event. Adding up the logs of all proxies shows load that would be harmless if it came from
+/// a single proxy.
 #[derive(Default)]
 pub struct PeriodicStats {
     pub requests: u32,
     pub attempts: u32,
+    /// The number of attempts that ended with each outcome, indexed by `Outcome`.
     outcomes: [u32; Outcome::COUNT],
     /// Requests rejected before an attempt was made.
     rejected_unattempted: u32,
@@ -23,17 +24,17 @@
     pub gossip_received: u32,
     pub discovery_calls: u32,
     pub discovery_calls_failed: u32,
-    /// The total of connections opened to upstreams at the last log event.
+    /// The total number of connections opened to upstreams, as of the last log event.
     connections_opened_before: u64,
 }
 
 impl PeriodicStats {
-    /// Records how an attempt ended.
+    /// Counts the outcome of an attempt.
     pub fn record_outcome(&mut self, outcome: Outcome) {
         self.outcomes[outcome as usize] += 1;
     }
 
-    /// Records a rejected request.
+    /// Counts a rejected request; `attempted` says whether an attempt was made.
     pub fn record_rejection(&mut self, attempted: bool) {
         match attempted {
             true => self.rejected_attempted += 1,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Logs the counts, unless nothing has happened, and resets them.
+    /// Logs the counts, unless there was no activity, and resets them.
     pub fn log_and_reset(&mut self, metrics: &Metrics, list_age: Duration) {
         let connections_opened = metrics.upstream_connections_opened();
         let next =
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -1,5 +1,5 @@
-//! An upgrade of this proxy: what this process takes over from a predecessor, follows of an overlapping process, and
-//! writes for a successor. [`SharedState`] is what is written.
+//! Upgrades of this proxy: restores state from a predecessor process, applies changes that an overlapping process has
+//! recorded, and saves state for a successor. [`SharedState`] is the state that the handover file holds.
 
 use std::sync::atomic::Ordering::Relaxed;
 
@@ -14,9 +14,9 @@
 use crate::handover::{ConversionContext, LearnedRecord, SharedState};
 
 impl Driver {
-    /// Starts with what a predecessor has left.
+    /// Restores the state that a predecessor process has saved.
     pub fn take_over(&mut self, shared: SharedState) {
-        self.follow_operators(&shared);
+        self.apply_operator_commands(&shared);
         self.handle(Event::Discovery(DiscoveryEvent::TakeoverStarted));
         let SharedState { endpoints, learned, .. } = shared;
         if !endpoints.is_empty() {
@@ -27,32 +27,34 @@
         self.balancer.restore(learned.to_learned(&context));
     }
 
-    /// Checks whether the other process of this proxy still runs, and saves what a successor needs.
-    pub(super) fn check_handover(&mut self) {
+    /// Checks whether the other process of this proxy still runs, and saves the state for a successor if this process
+    /// owns the handover file's learned state.
+    pub(super) fn maintain_handover_file(&mut self) {
         let Some(handover) = self.parts.handover.clone() else { return };
         handover.check_processes();
-        self.follow_handover();
+        self.sync_with_handover_file();
         if handover.is_owner() {
             self.save();
         }
     }
 
-    /// Follows what the other process of this proxy writes.
-    pub(super) fn follow_handover(&mut self) {
+    /// Writes pending changes to the handover file and applies changes that the other process of this proxy has
+    /// written.
+    pub(super) fn sync_with_handover_file(&mut self) {
         let Some(handover) = self.parts.handover.clone() else { return };
         handover.write_pending();
         if let Some(shared) = handover.read_if_replaced() {
-            self.follow_operators(&shared);
+            self.apply_operator_commands(&shared);
         }
         let overlapping = handover.has_overlap();
-        if self.overlapping_process != overlapping {
-            self.overlapping_process = overlapping;
+        if self.has_overlapping_process != overlapping {
+            self.has_overlapping_process = overlapping;
             info!(overlapping, "overlapping process of this proxy started or ended");
             self.handle(Event::OverlappingProcess(overlapping));
         }
     }
 
-    /// Records an operator's change for the other process, if there may be one, and replies then.
+    /// Records a change by an operator in the handover file, if there is one, and replies once that is done.
     pub(super) fn record_for_successor(
         &self, reply: oneshot::Sender<bool>, change: impl Fn(&mut SharedState) + 'static,
     ) {
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Writes what a successor needs; what can't be written now is part of the next save.
+    /// Writes the state that a successor needs. If that fails, the next save writes it.
     fn save(&self) {
         let Some(handover) = &self.parts.handover else { return };
         let ever_listed = self.endpoints.ever_listed().map(|id| id.0).collect();
@@ -85,7 +87,8 @@
         LearnedRecord::from_learned(learned, &context)
     }
 
-    /// From here on the process is ready to serve. That is written before it is said, unless the file is locked.
+    /// Marks the process as ready to serve. The handover file records this before the readiness checks report it,
+    /// unless the file is locked.
     pub(super) fn become_ready(&mut self) {
         if self.parts.handover.as_ref().is_some_and(|handover| handover.set_serving()) {
             self.save();
@@ -94,17 +97,17 @@
     }
 
     /// Applies the operators' commands that the other process has recorded.
-    fn follow_operators(&mut self, shared: &SharedState) {
+    fn apply_operator_commands(&mut self, shared: &SharedState) {
         self.set_drained(shared.drained);
         for id in &shared.ever_listed {
             self.endpoints.remember(EndpointId(*id));
         }
-        let before = self.balancer.endpoints_in_maintenance();
-        for id in before.iter().filter(|id| !shared.in_maintenance.contains(&id.0)) {
+        let current = self.balancer.endpoints_in_maintenance();
+        for id in current.iter().filter(|id| !shared.in_maintenance.contains(&id.0)) {
             self.set_maintenance(*id, false);
         }
         let recorded = shared.in_maintenance.iter().map(|id| EndpointId(*id));
-        for id in recorded.filter(|id| !before.contains(id)) {
+        for id in recorded.filter(|id| !current.contains(id)) {
             self.set_maintenance(id, true);
         }
     }
@@ -116,7 +119,7 @@
     ConversionContext {
         classes: classes.offered().collect(),
         machine_classes,
-        now: clock.at(Instant::now()),
-        wall_clock_offset: clock.offset(),
+        now: clock.to_millis(Instant::now()),
+        wall_clock_offset: clock.wall_clock_offset(),
     }
 }
--- a/crates/proxy/src/driver/timers.rs
+++ b/crates/proxy/src/driver/timers.rs
@@ -1,4 +1,4 @@
-//! The driver's timers.
+//! The queue of the driver's timers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,18 +6,18 @@
 use leadrelay_core::RequestId;
 use tokio::time::Instant;
 
-/// What is due at a point in time. Of those due at the same instant, the first variant comes first.
+/// A timer of the driver. Timers due at the same instant run in the order of these variants.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// A timer of the balancer, with its token.
     Balancer(u64),
-    /// The request must be answered now, unless its deadline has been extended.
-    AnswerDue(RequestId),
-    /// The process is about to end: every request must be answered now.
+    /// The request must get its final response now, unless its deadline has been extended.
+    ResponseDue(RequestId),
+    /// The process is about to end: every request must get its final response now.
     ShutdownDeadline,
 }
 
-/// Timers in the order of their due times.
+/// Pending timers, ordered by due time.
 #[derive(Default)]
 pub struct TimerQueue(BinaryHeap<Reverse<(Instant, Timer)>>);
 
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -1,4 +1,4 @@
-//! What the other parts of the proxy report to the driver, and the channel that carries it.
+//! The inputs that other parts of the proxy send to the driver, and the channel that carries them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,53 +17,54 @@
 use crate::open_ids::OpenId;
 use crate::upstream::{UpstreamRequest, UpstreamResponse};
 
-/// What the other parts report to the driver.
+/// An input to the driver from another part of the proxy.
 pub enum Input {
-    /// A request can be dispatched.
+    /// A client's request has arrived and can be dispatched.
     Request(Box<Arrival>),
     /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
-    /// The process shuts down, and no successor takes its clients.
+    /// The process is shutting down, and no successor process takes over its clients.
     ShutdownStarted,
-    /// The process shuts down: every request must be answered by then.
+    /// The process is shutting down, and every request must have its response by this instant.
     ShutdownDeadline(Instant),
     /// The configuration has been reloaded.
     Reconfigure(Box<Reconfigured>),
-    /// An attempt has started to take a request body that is forwarded while it is received.
+    /// An attempt has started to read a request body that is forwarded while it is received.
     UploadStarted {
         request: RequestId,
         /// How long the client waits after the last byte of the body.
         client_timeout: Duration,
     },
-    /// The last byte of a request body that is forwarded while it is received has been taken.
+    /// The last byte has been read of a request body that is forwarded while it is received.
     UploadComplete(RequestId),
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
     /// An endpoint list from the configuration, fixed or cached.
     EndpointList { scope: ListScope, endpoints: Vec<ListedEndpoint> },
-    /// A gossip message from another proxy, which is named by its index.
+    /// A gossip message from another proxy. `from` is that proxy's index.
     Gossip { from: u32, bytes: Vec<u8> },
 }
 
-/// The settings that a reload has changed.
+/// The settings of a reloaded configuration.
 pub struct Reconfigured {
     pub balancer: Reconfiguration,
     pub connections: ConnectionTimeouts,
 }
 
-/// How an attempt ended.
+/// The report of how an attempt ended.
 pub struct AttemptEnd {
     pub request: RequestId,
-    /// Which attempt of the request it was, from 0.
+    /// The number of the attempt among those of the request, from 0.
     pub attempt: u32,
-    /// From the send of the request's last byte to the start of the reply, or to the end without one.
+    /// The time from sending the request's last byte to the start of the response, or to the end of the attempt if
+    /// there is no response.
     pub latency: Millis,
     pub outcome: Outcome,
-    /// The reply to pass on to the client, if there is one.
-    pub reply: Option<UpstreamResponse>,
+    /// The response to pass on to the client, if there is one.
+    pub response: Option<UpstreamResponse>,
 }
 
-/// A client's request.
+/// A client's request that has arrived, and the state that the driver needs for it.
 pub struct Arrival {
     pub id: RequestId,
     pub class: ClassId,
@@ -71,33 +72,35 @@
     pub tenant: Option<TenantId>,
     pub key: Option<AffinityKey>,
     pub expected_cost: Option<Millis>,
-    /// When the client gives up, by what it announced.
+    /// When the client stops waiting, according to the timeout that it announced.
     pub deadline: Instant,
-    /// What that says of clients like it.
+    /// Whether the announced timeout is typical of other clients of the same class and tenant.
     pub announcement: TimeoutAnnouncement,
-    /// How long the client waits after the last byte of its body, if the body is still being received.
+    /// How long the client waits after the last byte of the request's body; `None` if the body has been received.
     pub upload_timeout: Option<Duration>,
     pub message: UpstreamRequest,
+    /// Sends the final response.
     pub answer: oneshot::Sender<Answer>,
-    /// `None` for requests that leave no access event.
+    /// The record for the request's access event; `None` for requests that are not sampled.
     pub access_record: Option<Rc<AccessRecord>>,
-    /// Reserves the request's own id, unless another open request has the same one.
+    /// Reserves the request's id; `None` if another open request has the same id.
     pub open_id: Option<OpenId>,
 }
 
-/// The one final answer to a request.
+/// The final response to a request; each request gets exactly one.
 pub enum Answer {
+    /// The response of the endpoint that served the request.
     Served(UpstreamResponse),
     /// The request has not been processed: a retry is harmless.
     Rejected {
-        /// When the client should retry.
+        /// How long the client should wait before a retry, in milliseconds.
         retry_after: Option<Millis>,
         /// Whether an attempt was made.
         attempted: bool,
     },
-    /// An upstream's error response, passed on.
+    /// An error response from an upstream, passed on to the client.
     UpstreamError(UpstreamResponse),
-    /// The request may have been processed.
+    /// The request has failed and may have been processed.
     Failed,
 }
 
@@ -106,15 +109,15 @@
 pub struct Inbox(mpsc::UnboundedSender<Input>);
 
 impl Inbox {
-    /// An inbox and its receiver. The queue's length is bounded by the socket budget: each connection has one request
-    /// at a time, and each request a few attempts.
+    /// Creates an inbox and its receiver. The channel needs no limit, as the socket budget bounds its length: each
+    /// connection has one request at a time, and each request a few attempts.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<Input>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         (Inbox(sender), receiver)
     }
 
-    /// Queues an input.
+    /// Queues an input for the driver.
     pub fn put(&self, input: Input) {
-        let _ = self.0.send(input); // fails only once the driver has been dropped at process exit
+        let _ = self.0.send(input); // fails only after the driver has been dropped at process exit
     }
 }
--- a/crates/proxy/src/listed_endpoint.rs
+++ b/crates/proxy/src/listed_endpoint.rs
@@ -1,77 +1,77 @@
-//! An entry of the endpoint list, as discovery, the configuration and the handover file write it.
+//! An entry of the endpoint list, in the form that discovery, the configuration and the handover file use.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The state of an endpoint's process, by discovery.
+/// The state of an endpoint's process, as given by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// It takes requests.
+    /// The endpoint takes requests.
     Up,
-    /// It finishes its requests and takes no new ones.
+    /// The endpoint finishes its requests and takes no new ones.
     Draining,
-    /// It has left. Only in changes of a list.
+    /// The endpoint has left the list. Occurs only in lists of changes.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedEndpoint {
-    /// Its name, the same at every proxy.
+    /// The endpoint's name, which is the same at every proxy.
     #[serde(rename = "host")]
     pub name: String,
-    /// Where it is reached; an endpoint that takes requests has an address.
+    /// The address at which the endpoint accepts connections. Required for endpoints that take requests.
     #[serde(rename = "dial")]
     pub address: Option<SocketAddr>,
-    /// Its zone.
+    /// The endpoint's zone.
     #[serde(rename = "site")]
     pub zone: Option<String>,
-    /// Its machine class.
+    /// The endpoint's machine class.
     #[serde(rename = "class")]
     pub machine_class: Option<String>,
-    /// Its cell.
+    /// The endpoint's cell: a small group of endpoints that deduplicate each other's requests by idempotency key.
     #[serde(rename = "block")]
     pub cell: Option<u64>,
-    /// Whether it takes requests.
+    /// Whether the endpoint takes requests.
     pub health: Health,
-    /// Its capacity relative to the others.
+    /// The endpoint's capacity relative to the other endpoints.
     #[serde(rename = "share")]
     pub weight: Option<f64>,
-    /// Unix time of its last start in milliseconds; 0 for long ago.
+    /// Unix time of the process's last start, in milliseconds; 0 for long ago.
     #[serde(rename = "born_ms")]
     pub started_unix_ms: f64,
 }
 
-/// Why an entry can't be used.
+/// Why an entry is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    /// It names no endpoint.
+    /// The entry does not name an endpoint.
     #[error("no 'host'")]
     NoName,
-    /// Its health is none of those that the protocol knows.
+    /// The entry's health is missing, or none of the values that the protocol defines.
     #[error("backend {name}: unknown health {health}")]
     UnknownHealth {
-        /// The endpoint.
+        /// The name of the endpoint.
         name: String,
-        /// What the entry says.
+        /// The health in the entry, as JSON.
         health: String,
     },
-    /// It takes requests, but has no address.
+    /// The endpoint takes requests but has no valid address.
     #[error("backend {name}: no address in 'dial'")]
     NoAddress {
-        /// The endpoint.
+        /// The name of the endpoint.
         name: String,
     },
 }
 
 impl ListedEndpoint {
-    /// Reads an entry. Zone, machine class, cell, weight and start time may be missing.
+    /// Reads an entry. Zone, machine class, cell, weight and start time are optional.
     ///
     /// # Errors
-    /// If it does not say which endpoint it is, whether it takes requests, or where.
+    /// If the entry lacks the endpoint's name, a known health, or the address of an endpoint that takes requests.
     pub fn read(entry: &Value) -> Result<Self, EntryError> {
         let text = |key: &str| entry[key].as_str().map(str::to_owned);
         let name = text("host").filter(|name| !name.is_empty()).ok_or(EntryError::NoName)?;
--- a/crates/proxy/src/open_ids.rs
+++ b/crates/proxy/src/open_ids.rs
@@ -1,22 +1,22 @@
-//! The ids of open requests.
+//! Tracks the ids of open requests, to recognize requests that reuse one.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use rustc_hash::FxHashSet;
 
-/// The ids of open requests. A second request with one of them could be taken for the first.
+/// The ids of open requests. A second open request with the same id could be mistaken for the first.
 #[derive(Clone, Default)]
 pub struct OpenIds(Rc<RefCell<FxHashSet<Rc<str>>>>);
 
-/// Reserves an id until the request and its attempts have ended.
+/// A reserved id. Dropping this, once the request and its attempts have ended, releases the id.
 pub struct OpenId {
     ids: OpenIds,
     id: Rc<str>,
 }
 
 impl OpenIds {
-    /// Reserves an id; `None` if a request with it is open.
+    /// Reserves an id. Returns `None` if another open request has reserved it.
     pub fn reserve(&self, id: &str) -> Option<OpenId> {
         let id: Rc<str> = id.into();
         let is_new = self.0.borrow_mut().insert(id.clone());
--- a/crates/proxy/src/open_ids/tests.rs
+++ b/crates/proxy/src/open_ids/tests.rs
@@ -1,13 +1,14 @@
-//! Reservation of ids.
+//! Tests that an id can be reserved by one open request at a time.
 
 use super::*;
 
+/// A second open request with the same id could be mistaken for the first.
 #[test]
 fn id_is_reserved_until_its_request_ends() {
     let ids = OpenIds::default();
-    let first = ids.reserve("a");
-    assert!(first.is_some() && ids.reserve("a").is_none());
+    let reserved = ids.reserve("a");
+    assert!(reserved.is_some() && ids.reserve("a").is_none());
     assert!(ids.reserve("b").is_some());
-    drop(first);
+    drop(reserved);
     assert!(ids.reserve("a").is_some());
 }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,4 +1,4 @@
-//! Gossip between proxies: datagrams that are short, unordered, and may be lost.
+//! Gossip between proxies, in short UDP datagrams that may be lost or reordered.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,11 +11,11 @@
 use crate::config::PeerAddresses;
 use crate::inbox::{Inbox, Input};
 
-/// Longest message of the protocol, in bytes.
+/// Maximum size of a gossip message, in bytes.
 const MAX_MESSAGE_SIZE: usize = 256;
-/// What a queued datagram takes of a socket's buffer in bytes, with the system's own data about it.
+/// The space that a queued datagram takes in a socket's buffer, in bytes, including the operating system's bookkeeping.
 const BUFFER_PER_DATAGRAM: usize = 1280;
-/// Wait after a failed receive, which would be repeated at once otherwise.
+/// Delay after a failed receive. Without it, the receive would be repeated at once.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The socket for gossip with the other proxies.
@@ -25,8 +25,8 @@
 }
 
 impl Peers {
-    /// Binds the socket. If the address is shared with an overlapping process of this proxy, the one that has bound it
-    /// last receives.
+    /// Binds the socket. If the address is shared with an overlapping process of this proxy, the process that has bound
+    /// it last receives the datagrams.
     pub fn bind(addresses: PeerAddresses, is_shared: bool) -> io::Result<Rc<Self>> {
         let domain = socket2::Domain::for_address(addresses.listen);
         let socket = socket2::Socket::new(domain, socket2::Type::DGRAM, None)?;
@@ -37,17 +37,17 @@
         Ok(Rc::new(Peers { socket: UdpSocket::from_std(socket.into())?, addresses }))
     }
 
-    /// Sends a message to every other proxy. What the socket can't take at once is lost.
+    /// Sends a message to every other proxy. Datagrams that the socket can't accept at once are lost.
     pub fn broadcast(&self, message: &[u8]) {
         if message.len() > MAX_MESSAGE_SIZE {
-            error!(bytes = message.len(), "gossip message too long, not sent");
+            error!(bytes = message.len(), "gossip message not sent: too long");
             return;
         }
         match self.addresses.all {
             Some(all) => self.send(message, all),
             None => {
-                let own = self.addresses.listen;
-                for peer in self.addresses.peers.iter().filter(|peer| **peer != own) {
+                let own_address = self.addresses.listen;
+                for peer in self.addresses.peers.iter().filter(|peer| **peer != own_address) {
                     self.send(message, *peer);
                 }
             }
@@ -60,13 +60,14 @@
         }
     }
 
-    /// Passes on what the other proxies send. A datagram of another sender or over the maximum size is dropped.
+    /// Receives gossip messages and passes them on to the driver. Drops datagrams from unknown senders and those over
+    /// the maximum size.
     pub async fn listen(self: Rc<Self>, inbox: Inbox) {
         let mut buffer = [0; MAX_MESSAGE_SIZE + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((size, sender)) => self.receive(&buffer[..size], sender, &inbox),
-                // May be the error of an earlier send.
+                // The error may stem from an earlier send.
                 Err(error) => {
                     info!(%error, "gossip receive failed");
                     tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
@@ -82,16 +83,16 @@
                 inbox.put(Input::Gossip { from: index as u32, bytes: message.to_vec() });
             }
             _ => {
-                info!(from = %sender, size = message.len(), "gossip message dropped, sender unknown or too long")
+                info!(from = %sender, size = message.len(), "gossip message dropped: unknown sender or too long")
             }
         }
     }
 }
 
-/// Enlarges the socket's buffers for one datagram per proxy, as far as the system allows: all of them may send while this
-/// one is busy, and a broadcast goes to all at once.
-fn enlarge_buffers(socket: &socket2::Socket, proxies: usize) -> io::Result<()> {
-    let size = proxies * BUFFER_PER_DATAGRAM;
+/// Enlarges the socket's buffers to hold one datagram per proxy, as far as the operating system allows: all proxies may
+/// send while this one is busy, and a broadcast goes to all of them at once.
+fn enlarge_buffers(socket: &socket2::Socket, proxy_count: usize) -> io::Result<()> {
+    let size = proxy_count * BUFFER_PER_DATAGRAM;
     if socket.recv_buffer_size()? < size {
         socket.set_recv_buffer_size(size)?;
     }
