--- a/crates/proxy/src/driver/attempts.rs
+++ b/crates/proxy/src/driver/attempts.rs
@@ -11,7 +11,7 @@
 use super::Driver;
 use super::attempt_report::AttemptReport;
 use super::open_requests::OpenRequest;
-use crate::inbox::{Answer, AttemptEnd};
+use crate::inbox::{AttemptEnd, FinalResponse};
 use crate::upstream::{AttemptLimits, RequestState, UpstreamEndpoint, UpstreamPool};
 
 /// Maximum time-out of an attempt, in milliseconds, so that adding it to an instant can't overflow.
@@ -77,7 +77,7 @@
         match (outcome, response) {
             (Outcome::Served, Some(response)) => {
                 if let Some(response_sender) = self.close(request, RequestState::Answered) {
-                    let _ = response_sender.send(Answer::Served(response)); // the client may have disconnected
+                    let _ = response_sender.send(FinalResponse::Served(response)); // the client may have disconnected
                 }
             }
             (_, Some(error_response)) => open.upstream_error = Some(error_response),
--- a/crates/proxy/src/driver/open_requests.rs
+++ b/crates/proxy/src/driver/open_requests.rs
@@ -13,7 +13,7 @@
 use super::timers::Timer;
 use crate::access_record::AccessRecord;
 use crate::classes::ClassLease;
-use crate::inbox::{Answer, Arrival};
+use crate::inbox::{Arrival, FinalResponse};
 use crate::open_ids::OpenId;
 use crate::upstream::{RequestState, UpstreamRequest, UpstreamResponse};
 
@@ -27,7 +27,7 @@
 /// A request without a final response, or with attempts in flight.
 pub struct OpenRequest {
     /// Sends the final response; `None` once the request is closed.
-    pub(super) response_sender: Option<oneshot::Sender<Answer>>,
+    pub(super) response_sender: Option<oneshot::Sender<FinalResponse>>,
     /// The state of the request, shared with its attempts. Attempts may start and continue only while it is pending.
     pub(super) state: Rc<Cell<RequestState>>,
     pub(super) message: Rc<UpstreamRequest>,
@@ -150,8 +150,8 @@
         let attempted = self.open_requests.get(&id).is_some_and(|open| open.attempts > 0);
         if let Some(response_sender) = self.close(id, RequestState::Abandoned) {
             let response = match attempted {
-                true => Answer::Failed,
-                false => Answer::Rejected { retry_after: None, attempted: false },
+                true => FinalResponse::Failed,
+                false => FinalResponse::Rejected { retry_after: None, attempted: false },
             };
             let _ = response_sender.send(response); // the client may have disconnected
             self.handle(Event::ClientClosed(id));
@@ -183,9 +183,9 @@
         if let Some(response_sender) = self.close(id, RequestState::Answered) {
             self.stats.record_rejection(attempted);
             debug!(request_number = id.0, reason = reason.name(), attempted, "request rejected");
-            let rejected = Answer::Rejected { retry_after, attempted };
+            let rejected = FinalResponse::Rejected { retry_after, attempted };
             // The client may have disconnected.
-            let _ = response_sender.send(error_response.map_or(rejected, Answer::UpstreamError));
+            let _ = response_sender.send(error_response.map_or(rejected, FinalResponse::UpstreamError));
         }
     }
 
@@ -195,7 +195,8 @@
         if let Some(response_sender) = self.close(id, RequestState::Answered) {
             self.stats.failed += 1;
             // The client may have disconnected.
-            let _ = response_sender.send(error_response.map_or(Answer::Failed, Answer::UpstreamError));
+            let _ = response_sender
+                .send(error_response.map_or(FinalResponse::Failed, FinalResponse::UpstreamError));
         }
     }
 
@@ -205,7 +206,9 @@
 
     /// Closes a request, so that no attempt starts for it any more. Returns the sender for its final response, or
     /// `None` if the request was already closed.
-    pub(super) fn close(&mut self, id: RequestId, state: RequestState) -> Option<oneshot::Sender<Answer>> {
+    pub(super) fn close(
+        &mut self, id: RequestId, state: RequestState,
+    ) -> Option<oneshot::Sender<FinalResponse>> {
         let open = self.open_requests.get_mut(&id)?;
         open.state.set(state);
         let response_sender = open.response_sender.take();
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -22,7 +22,7 @@
 use crate::cause::Cause;
 
 use crate::head::RequestMeta;
-use crate::inbox::{Answer, Arrival, Input};
+use crate::inbox::{Arrival, FinalResponse, Input};
 use crate::metrics::RequestTicket;
 use crate::open_ids::OpenId;
 use crate::upstream::{MessageBody, RequestBody, UpstreamRequest, remove_hop_by_hop_headers};
@@ -65,7 +65,7 @@
 
 /// A request that has been submitted to the driver.
 struct SubmittedRequest {
-    answer: oneshot::Receiver<Answer>,
+    answer: oneshot::Receiver<FinalResponse>,
     ticket: RequestTicket,
 }
 
@@ -195,10 +195,10 @@
 
 /// Waits for the final answer, while the rest of a streamed body is received.
 async fn answer_while_uploading(
-    answer: oneshot::Receiver<Answer>, upload: Option<impl Future<Output = Result<(), BodyError>>>,
-) -> Result<Answer, BodyError> {
+    answer: oneshot::Receiver<FinalResponse>, upload: Option<impl Future<Output = Result<(), BodyError>>>,
+) -> Result<FinalResponse, BodyError> {
     // The driver drops the sender only if it fails.
-    let answer = async { answer.await.unwrap_or(Answer::Failed) };
+    let answer = async { answer.await.unwrap_or(FinalResponse::Failed) };
     let Some(upload) = upload else { return Ok(answer.await) };
     tokio::pin!(answer, upload);
     tokio::select! {
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -13,7 +13,7 @@
 use crate::body_stream::BodyStream;
 use crate::cause::Cause;
 use crate::config::Dialect;
-use crate::inbox::Answer;
+use crate::inbox::FinalResponse;
 use crate::metrics::RequestTicket;
 use crate::rejection::Rejection;
 use crate::upstream::{MessageBody, UpstreamResponse};
@@ -22,16 +22,16 @@
     /// The response that carries a request's final answer, and the end of the request: at once, or with the last byte
     /// of a streamed response.
     pub(super) fn final_response(
-        self: &Rc<Self>, answer: Answer, ticket: RequestTicket, client: &Rc<Client>,
+        self: &Rc<Self>, answer: FinalResponse, ticket: RequestTicket, client: &Rc<Client>,
     ) -> Response<MessageBody> {
         match answer {
-            Answer::Served(response) => self.served(response, ticket, client),
+            FinalResponse::Served(response) => self.served(response, ticket, client),
             // No other backend could take over: the client sees what this one said.
-            Answer::UpstreamError(response) => {
+            FinalResponse::UpstreamError(response) => {
                 ticket.end(Cause::BackendError);
                 client_response(response)
             }
-            Answer::Rejected { retry_after, attempted } => {
+            FinalResponse::Rejected { retry_after, attempted } => {
                 ticket.end(if attempted {
                     Cause::RejectedAfterAttempt
                 } else {
@@ -39,7 +39,7 @@
                 });
                 self.unavailable(retry_after)
             }
-            Answer::Failed => {
+            FinalResponse::Failed => {
                 ticket.end(Cause::Failed);
                 text_response(StatusCode::BAD_GATEWAY, "failed")
             }
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -80,7 +80,7 @@
     pub upload_timeout: Option<Duration>,
     pub message: UpstreamRequest,
     /// Sends the final response.
-    pub answer: oneshot::Sender<Answer>,
+    pub answer: oneshot::Sender<FinalResponse>,
     /// The record for the request's access event; `None` for requests that are not sampled.
     pub access_record: Option<Rc<AccessRecord>>,
     /// Reserves the request's id; `None` if another open request has the same id.
@@ -88,7 +88,7 @@
 }
 
 /// The final response to a request; each request gets exactly one.
-pub enum Answer {
+pub enum FinalResponse {
     /// The response of the endpoint that served the request.
     Served(UpstreamResponse),
     /// The request has not been processed: a retry is harmless.
