--- a/crates/proxy/src/driver/open_requests.rs
+++ b/crates/proxy/src/driver/open_requests.rs
@@ -55,7 +55,7 @@
 impl OpenRequest {
     fn new(arrival: Arrival, deadline: Instant, now: Instant) -> Self {
         OpenRequest {
-            response_sender: Some(arrival.answer),
+            response_sender: Some(arrival.response_sender),
             state: Rc::new(Cell::new(RequestState::Pending)),
             message: Rc::new(arrival.message),
             deadline,
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -143,7 +143,7 @@
             announcement,
             upload_timeout: streamed.then_some(meta.timeout),
             message,
-            answer: answer_sender,
+            response_sender: answer_sender,
             access_record,
             open_id,
         })));
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -80,7 +80,7 @@
     pub upload_timeout: Option<Duration>,
     pub message: UpstreamRequest,
     /// Sends the final response.
-    pub answer: oneshot::Sender<FinalResponse>,
+    pub response_sender: oneshot::Sender<FinalResponse>,
     /// The record for the request's access event; `None` for requests that are not sampled.
     pub access_record: Option<Rc<AccessRecord>>,
     /// Reserves the request's id; `None` if another open request has the same id.
