--- a/crates/proxy/src/driver/open_requests.rs
+++ b/crates/proxy/src/driver/open_requests.rs
@@ -84,7 +84,7 @@
         let id = arrival.id;
         let class = arrival.class;
         let tenant = arrival.tenant;
-        let key = arrival.key;
+        let key = arrival.affinity_key;
         let announcement = arrival.announcement;
         let expected_cost = arrival.expected_cost;
         let deadline = self.limit_to_shutdown(arrival.deadline);
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -137,7 +137,7 @@
             class: meta.class.id,
             class_lease: meta.class.lease,
             tenant: meta.tenant,
-            key: meta.affinity_key,
+            affinity_key: meta.affinity_key,
             expected_cost: meta.expected_cost,
             deadline: arrived_at + meta.timeout,
             announcement,
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -70,7 +70,7 @@
     pub class: ClassId,
     pub class_lease: ClassLease,
     pub tenant: Option<TenantId>,
-    pub key: Option<AffinityKey>,
+    pub affinity_key: Option<AffinityKey>,
     pub expected_cost: Option<Millis>,
     /// When the client stops waiting, according to the timeout that it announced.
     pub deadline: Instant,
