--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -53,7 +53,7 @@
 use timers::{Timer, TimerQueue};
 
 /// The other parts of the proxy that the driver uses.
-pub struct Parts {
+pub struct DriverParts {
     pub classes: Rc<RefCell<Classes>>,
     /// Receives operators' commands.
     pub commands: mpsc::UnboundedReceiver<CommandRequest>,
@@ -74,7 +74,7 @@
 pub struct Driver {
     balancer: Balancer,
     names: Names,
-    parts: Parts,
+    parts: DriverParts,
     clock: Clock,
     endpoints: Endpoints,
     open_requests: FxHashMap<RequestId, OpenRequest>,
@@ -91,7 +91,7 @@
 
 impl Driver {
     /// Creates a driver without endpoints and requests.
-    pub fn new(balancer: Balancer, names: Names, parts: Parts) -> Self {
+    pub fn new(balancer: Balancer, names: Names, parts: DriverParts) -> Self {
         Driver {
             balancer,
             names,
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -19,7 +19,7 @@
 use crate::classes::Classes;
 use crate::config::{Config, Dialect, Source};
 use crate::discovery::{self, Calls};
-use crate::driver::{Driver, Parts};
+use crate::driver::{Driver, DriverParts};
 use crate::error::{DriverEnd, Error};
 use crate::frontend::{Frontend, FrontendParts, SocketLimits};
 use crate::handover::{Handover, SharedState};
@@ -113,7 +113,7 @@
     }
     let limits = socket_limits(config.max_sockets, handover.clone());
     let upstreams = Rc::new(new_upstreams(&config, limits.max_backends(), &shared.metrics));
-    let parts = Parts {
+    let parts = DriverParts {
         commands,
         classes: shared.classes.clone(),
         inbox: shared.inbox.clone(),
