--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -40,7 +40,7 @@
 use crate::classes::Classes;
 use crate::discovery::{Calls, DiscoveryReceiver};
 use crate::handover::Handover;
-use crate::inbox::{Inbox, Input, Reconfigured};
+use crate::inbox::{Inbox, Input, ReloadedSettings};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::upstream::UpstreamPool;
@@ -163,7 +163,7 @@
         }
     }
 
-    fn reconfigure(&mut self, settings: Reconfigured) {
+    fn reconfigure(&mut self, settings: ReloadedSettings) {
         self.parts.upstreams.reconfigure(&settings.connections);
         self.handle(Event::Reconfigure(Box::new(settings.balancer)));
     }
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -28,7 +28,7 @@
     /// The process is shutting down, and every request must have its response by this instant.
     ShutdownDeadline(Instant),
     /// The configuration has been reloaded.
-    Reconfigure(Box<Reconfigured>),
+    Reconfigure(Box<ReloadedSettings>),
     /// An attempt has started to read a request body that is forwarded while it is received.
     UploadStarted {
         request: RequestId,
@@ -46,7 +46,7 @@
 }
 
 /// The settings of a reloaded configuration.
-pub struct Reconfigured {
+pub struct ReloadedSettings {
     pub balancer: Reconfiguration,
     pub connections: ConnectionTimeouts,
 }
--- a/crates/proxy/src/server/reload.rs
+++ b/crates/proxy/src/server/reload.rs
@@ -13,7 +13,7 @@
 
 use crate::classes::{Classes, TooManyFormerClasses};
 use crate::config::{self, Config, Faults, Origin, Source};
-use crate::inbox::{Inbox, Input, Reconfigured};
+use crate::inbox::{Inbox, Input, ReloadedSettings};
 use crate::metrics::Metrics;
 
 /// Why a file is not applied.
@@ -78,7 +78,7 @@
         self.access_rate.set(new.logging.access);
         // Sent before any request that is read with the new classes.
         let connections = new.connections;
-        self.inbox.put(Input::Reconfigure(Box::new(Reconfigured { balancer, connections })));
+        self.inbox.put(Input::Reconfigure(Box::new(ReloadedSettings { balancer, connections })));
         self.apply_source(&new.source);
         self.running = new;
         Ok(())
