--- a/crates/proxy/src/driver/open_requests.rs
+++ b/crates/proxy/src/driver/open_requests.rs
@@ -14,7 +14,7 @@
 use crate::access_record::AccessRecord;
 use crate::classes::ClassLease;
 use crate::inbox::{Arrival, FinalResponse};
-use crate::open_ids::OpenId;
+use crate::open_ids::ReservedRequestId;
 use crate::upstream::{RequestState, UpstreamRequest, UpstreamResponse};
 
 /// The driver itself responds to a request that has no response yet this long before its deadline.
@@ -44,7 +44,7 @@
     /// Keeps the entry of the request's class from being reused.
     _class_lease: ClassLease,
     /// Reserves the request's id, so that other requests with the same id are recognized.
-    _reserved_id: Option<OpenId>,
+    _reserved_id: Option<ReservedRequestId>,
     pub(super) access_record: Option<Rc<AccessRecord>>,
     /// The latest error response from an upstream that may be passed on to the client.
     pub(super) upstream_error: Option<UpstreamResponse>,
--- a/crates/proxy/src/frontend/admission.rs
+++ b/crates/proxy/src/frontend/admission.rs
@@ -10,14 +10,14 @@
 use super::received::ReceivedHead;
 use crate::body_stream::MAX_BODY_BYTES;
 use crate::head::{self, RequestMeta};
-use crate::open_ids::OpenId;
+use crate::open_ids::ReservedRequestId;
 use crate::rejection::Rejection;
 
 /// A request that is accepted, by its head.
 pub(super) struct AcceptedHead {
     pub(super) meta: RequestMeta,
     /// Reserves its id, unless another open request has the same.
-    pub(super) open_id: Option<OpenId>,
+    pub(super) open_id: Option<ReservedRequestId>,
     pub(super) head: request::Parts,
     pub(super) body: Incoming,
 }
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -24,7 +24,7 @@
 use crate::head::RequestMeta;
 use crate::inbox::{Arrival, FinalResponse, Input};
 use crate::metrics::RequestTicket;
-use crate::open_ids::OpenId;
+use crate::open_ids::ReservedRequestId;
 use crate::upstream::{MessageBody, RequestBody, UpstreamRequest, remove_hop_by_hop_headers};
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -38,7 +38,7 @@
 struct ReadyRequest {
     id: RequestId,
     meta: RequestMeta,
-    open_id: Option<OpenId>,
+    open_id: Option<ReservedRequestId>,
     message: UpstreamRequest,
     /// When its first byte arrived.
     started_at: Instant,
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -14,7 +14,7 @@
 use crate::access_record::AccessRecord;
 use crate::classes::ClassLease;
 use crate::listed_endpoint::ListedEndpoint;
-use crate::open_ids::OpenId;
+use crate::open_ids::ReservedRequestId;
 use crate::upstream::{UpstreamRequest, UpstreamResponse};
 
 /// An input to the driver from another part of the proxy.
@@ -84,7 +84,7 @@
     /// The record for the request's access event; `None` for requests that are not sampled.
     pub access_record: Option<Rc<AccessRecord>>,
     /// Reserves the request's id; `None` if another open request has the same id.
-    pub open_id: Option<OpenId>,
+    pub open_id: Option<ReservedRequestId>,
 }
 
 /// The final response to a request; each request gets exactly one.
--- a/crates/proxy/src/open_ids.rs
+++ b/crates/proxy/src/open_ids.rs
@@ -10,21 +10,21 @@
 pub struct OpenIds(Rc<RefCell<FxHashSet<Rc<str>>>>);
 
 /// A reserved id. Dropping this, once the request and its attempts have ended, releases the id.
-pub struct OpenId {
+pub struct ReservedRequestId {
     ids: OpenIds,
     id: Rc<str>,
 }
 
 impl OpenIds {
     /// Reserves an id. Returns `None` if another open request has reserved it.
-    pub fn reserve(&self, id: &str) -> Option<OpenId> {
+    pub fn reserve(&self, id: &str) -> Option<ReservedRequestId> {
         let id: Rc<str> = id.into();
         let is_new = self.0.borrow_mut().insert(id.clone());
-        is_new.then(|| OpenId { ids: self.clone(), id })
+        is_new.then(|| ReservedRequestId { ids: self.clone(), id })
     }
 }
 
-impl Drop for OpenId {
+impl Drop for ReservedRequestId {
     fn drop(&mut self) {
         self.ids.0.borrow_mut().remove(&self.id);
     }
