--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -54,7 +54,7 @@
 use crate::close_reason::ClientClose;
 use crate::inbox::Inbox;
 use crate::metrics::Metrics;
-use crate::open_ids::OpenIds;
+use crate::open_ids::OpenRequestIds;
 use crate::upstream::UpstreamPool;
 use client::{Client, Stage};
 use connection_table::{ConnectionTable, MIN_IDLE_TIME};
@@ -104,7 +104,7 @@
     connections: ConnectionTable,
     /// When the accept queue was last seen empty.
     queue_empty_at: Cell<Instant>,
-    open_ids: OpenIds,
+    open_ids: OpenRequestIds,
     /// Notified when a connection has closed, and while the process ends when one changes its stage.
     changed: Notify,
 }
@@ -124,7 +124,7 @@
             stopping: Cell::new(false),
             connections: ConnectionTable::default(),
             queue_empty_at: Cell::new(Instant::now()),
-            open_ids: OpenIds::default(),
+            open_ids: OpenRequestIds::default(),
             changed: Notify::new(),
         })
     }
--- a/crates/proxy/src/open_ids.rs
+++ b/crates/proxy/src/open_ids.rs
@@ -7,15 +7,15 @@
 
 /// The ids of open requests. A second open request with the same id could be mistaken for the first.
 #[derive(Clone, Default)]
-pub struct OpenIds(Rc<RefCell<FxHashSet<Rc<str>>>>);
+pub struct OpenRequestIds(Rc<RefCell<FxHashSet<Rc<str>>>>);
 
 /// A reserved id. Dropping this, once the request and its attempts have ended, releases the id.
 pub struct ReservedRequestId {
-    ids: OpenIds,
+    ids: OpenRequestIds,
     id: Rc<str>,
 }
 
-impl OpenIds {
+impl OpenRequestIds {
     /// Reserves an id. Returns `None` if another open request has reserved it.
     pub fn reserve(&self, id: &str) -> Option<ReservedRequestId> {
         let id: Rc<str> = id.into();
