--- a/crates/proxy/src/driver/open_requests.rs
+++ b/crates/proxy/src/driver/open_requests.rs
@@ -64,7 +64,7 @@
             attempts: 0,
             attempts_in_flight: 0,
             _class_lease: arrival.class_lease,
-            _reserved_id: arrival.open_id,
+            _reserved_id: arrival.reserved_id,
             access_record: arrival.access_record,
             upstream_error: None,
             last_outcome: None,
--- a/crates/proxy/src/frontend/admission.rs
+++ b/crates/proxy/src/frontend/admission.rs
@@ -17,7 +17,7 @@
 pub(super) struct AcceptedHead {
     pub(super) meta: RequestMeta,
     /// Reserves its id, unless another open request has the same.
-    pub(super) open_id: Option<ReservedRequestId>,
+    pub(super) reserved_id: Option<ReservedRequestId>,
     pub(super) head: request::Parts,
     pub(super) body: Incoming,
 }
@@ -36,11 +36,11 @@
         if body.size_hint().lower() > MAX_BODY_BYTES {
             return Err(Rejection::BodyTooLarge);
         }
-        let open_id = self.open_ids.reserve(&meta.id);
-        if meta.requires_unique_id && open_id.is_none() {
+        let reserved_id = self.open_ids.reserve(&meta.id);
+        if meta.requires_unique_id && reserved_id.is_none() {
             return Err(Rejection::IdInUse);
         }
-        Ok(AcceptedHead { meta, open_id, head, body })
+        Ok(AcceptedHead { meta, reserved_id, head, body })
     }
 
     /// Reads a request's head.
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -38,7 +38,7 @@
 struct ReadyRequest {
     id: RequestId,
     meta: RequestMeta,
-    open_id: Option<ReservedRequestId>,
+    reserved_id: Option<ReservedRequestId>,
     message: UpstreamRequest,
     /// When its first byte arrived.
     started_at: Instant,
@@ -76,7 +76,7 @@
     ) -> Result<Response<MessageBody>, ClientDisconnected> {
         let started_at = received.started_at;
         let head_arrived_at = received.arrived_at;
-        let AcceptedHead { meta, open_id, head, body } = match self.admit(received) {
+        let AcceptedHead { meta, reserved_id, head, body } = match self.admit(received) {
             Ok(accepted) => accepted,
             Err(rejection) => return Ok(rejection_response(rejection)),
         };
@@ -90,7 +90,7 @@
         let arrived_at = arrival_time(head_arrived_at, receive_started_at);
         let message = upstream_request(head, body, &meta, client);
         let streamed = upload.is_some();
-        let ready = ReadyRequest { id, meta, open_id, message, started_at, arrived_at, streamed };
+        let ready = ReadyRequest { id, meta, reserved_id, message, started_at, arrived_at, streamed };
         self.respond_with_answer(ready, upload, client).await
     }
 
@@ -124,7 +124,7 @@
     /// Counts a request and submits it to the driver, unless its client has disconnected.
     fn submit(&self, ready: ReadyRequest, client: &Client) -> Result<SubmittedRequest, ClientDisconnected> {
         let announcement = ready.announcement();
-        let ReadyRequest { id, meta, open_id, message, arrived_at, streamed, .. } = ready;
+        let ReadyRequest { id, meta, reserved_id, message, arrived_at, streamed, .. } = ready;
         let mut ticket = self.count_request(&meta, arrived_at);
         let access_record = self.access_record(&meta, arrived_at);
         ticket.set_access_record(access_record.clone());
@@ -145,7 +145,7 @@
             message,
             response_sender: answer_sender,
             access_record,
-            open_id,
+            reserved_id,
         })));
         Ok(SubmittedRequest { answer, ticket })
     }
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -84,7 +84,7 @@
     /// The record for the request's access event; `None` for requests that are not sampled.
     pub access_record: Option<Rc<AccessRecord>>,
     /// Reserves the request's id; `None` if another open request has the same id.
-    pub open_id: Option<ReservedRequestId>,
+    pub reserved_id: Option<ReservedRequestId>,
 }
 
 /// The final response to a request; each request gets exactly one.
