--- a/crates/proxy/src/driver/open_requests.rs
+++ b/crates/proxy/src/driver/open_requests.rs
@@ -34,7 +34,7 @@
     /// When the client stops waiting.
     pub(super) deadline: Instant,
     /// How long the client waits after the last byte of the request's body; `None` if the body has been received.
-    upload_timeout: Option<Duration>,
+    timeout_after_upload: Option<Duration>,
     /// When the last byte of the latest attempt's request was sent, or the start of that attempt until that is known.
     pub(super) sent_at: Rc<Cell<Instant>>,
     /// The number of attempts that have been started.
@@ -59,7 +59,7 @@
             state: Rc::new(Cell::new(RequestState::Pending)),
             message: Rc::new(arrival.message),
             deadline,
-            upload_timeout: arrival.upload_timeout,
+            timeout_after_upload: arrival.timeout_after_upload,
             sent_at: Rc::new(Cell::new(now)),
             attempts: 0,
             attempts_in_flight: 0,
@@ -74,7 +74,7 @@
     /// Whether a response sent now would violate the request's deadline. While the request's body is being received, no
     /// response counts as late.
     fn is_late(&self) -> bool {
-        self.upload_timeout.is_none() && self.deadline.elapsed() > LATE_RESPONSE
+        self.timeout_after_upload.is_none() && self.deadline.elapsed() > LATE_RESPONSE
     }
 }
 
@@ -97,7 +97,7 @@
             class = class.0,
             timeout_ms = timeout.round(),
             ?announcement,
-            streamed = arrival.upload_timeout.is_some(),
+            streamed = arrival.timeout_after_upload.is_some(),
             "request accepted"
         );
         self.open_requests.insert(id, OpenRequest::new(arrival, deadline, now));
@@ -111,9 +111,9 @@
     /// client may already have sent the whole body.
     pub(super) fn upload_started(&mut self, id: RequestId, client_timeout: Duration) {
         let deadline = self.limit_to_shutdown(Instant::now() + MAX_UPLOAD_TIME);
-        let uploading = self.open_requests.get_mut(&id).filter(|open| open.upload_timeout.is_some());
+        let uploading = self.open_requests.get_mut(&id).filter(|open| open.timeout_after_upload.is_some());
         let Some(open) = uploading else { return };
-        open.upload_timeout = Some(client_timeout);
+        open.timeout_after_upload = Some(client_timeout);
         open.deadline = deadline;
         self.timers.add(deadline - RESPONSE_MARGIN, Timer::ResponseDue(id));
         self.handle(Event::Upload { request: id, stage: UploadStage::Started });
@@ -122,7 +122,7 @@
     /// Handles the last byte of a body that is forwarded while it is received: the client's timeout starts now.
     pub(super) fn upload_complete(&mut self, id: RequestId) {
         let now = Instant::now();
-        let uploading = self.open_requests.get_mut(&id).and_then(|open| open.upload_timeout.take());
+        let uploading = self.open_requests.get_mut(&id).and_then(|open| open.timeout_after_upload.take());
         let Some(client_timeout) = uploading else { return };
         let deadline = self.limit_to_shutdown(now + client_timeout);
         let Some(open) = self.open_requests.get_mut(&id) else { return };
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -141,7 +141,7 @@
             expected_cost: meta.expected_cost,
             deadline: arrived_at + meta.timeout,
             announcement,
-            upload_timeout: streamed.then_some(meta.timeout),
+            timeout_after_upload: streamed.then_some(meta.timeout),
             message,
             response_sender: answer_sender,
             access_record,
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -77,7 +77,7 @@
     /// Whether the announced timeout is typical of other clients of the same class and tenant.
     pub announcement: TimeoutAnnouncement,
     /// How long the client waits after the last byte of the request's body; `None` if the body has been received.
-    pub upload_timeout: Option<Duration>,
+    pub timeout_after_upload: Option<Duration>,
     pub message: UpstreamRequest,
     /// Sends the final response.
     pub response_sender: oneshot::Sender<FinalResponse>,
