--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -151,7 +151,7 @@
                 self.shutdown_deadline = Some(deadline);
                 self.timers.add(deadline, Timer::ShutdownDeadline);
             }
-            Input::ShutdownStarted => self.handle(Event::Draining(true)),
+            Input::ShutdownWithoutSuccessor => self.handle(Event::Draining(true)),
             Input::UploadStarted { request, client_timeout } => self.upload_started(request, client_timeout),
             Input::UploadComplete(id) => self.upload_complete(id),
             Input::AttemptEnded(end) => self.attempt_ended(end),
--- a/crates/proxy/src/frontend/shutdown.rs
+++ b/crates/proxy/src/frontend/shutdown.rs
@@ -40,7 +40,7 @@
         if self.hand_over() {
             self.leave_to_successor(listener).await;
         } else {
-            self.inbox.put(Input::ShutdownStarted);
+            self.inbox.put(Input::ShutdownWithoutSuccessor);
             self.accept_last(listener).await;
         }
         self.finish_requests(response_deadline + WRITE_TIME).await;
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -24,7 +24,7 @@
     /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
     /// The process is shutting down, and no successor process takes over its clients.
-    ShutdownStarted,
+    ShutdownWithoutSuccessor,
     /// The process is shutting down, and every request must have its response by this instant.
     ShutdownDeadline(Instant),
     /// The configuration has been reloaded.
