--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -42,7 +42,7 @@
 use crate::handover::Handover;
 use crate::inbox::{Inbox, Input, ReloadedSettings};
 use crate::metrics::Metrics;
-use crate::peers::Peers;
+use crate::peers::GossipSocket;
 use crate::upstream::UpstreamPool;
 use clock::Clock;
 use endpoint_updates::{ListStatus, next_report};
@@ -60,7 +60,7 @@
     pub inbox: Inbox,
     pub upstreams: Rc<UpstreamPool>,
     /// The socket for gossip with the other proxies, if there is one.
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<GossipSocket>>,
     /// The calls to discovery and their reports; `None` if the endpoint list is fixed.
     pub discovery: Option<(Calls, DiscoveryReceiver)>,
     pub metrics: Arc<Metrics>,
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -19,12 +19,12 @@
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// The socket for gossip with the other proxies.
-pub struct Peers {
+pub struct GossipSocket {
     socket: UdpSocket,
     addresses: PeerAddresses,
 }
 
-impl Peers {
+impl GossipSocket {
     /// Binds the socket. If the address is shared with an overlapping process of this proxy, the process that has bound
     /// it last receives the datagrams.
     pub fn bind(addresses: PeerAddresses, is_shared: bool) -> io::Result<Rc<Self>> {
@@ -34,7 +34,7 @@
         socket.set_nonblocking(true)?;
         enlarge_buffers(&socket, addresses.peers.len())?;
         socket.bind(&addresses.listen.into())?;
-        Ok(Rc::new(Peers { socket: UdpSocket::from_std(socket.into())?, addresses }))
+        Ok(Rc::new(GossipSocket { socket: UdpSocket::from_std(socket.into())?, addresses }))
     }
 
     /// Sends a message to every other proxy. Datagrams that the socket can't accept at once are lost.
--- a/crates/proxy/src/server/bound_sockets.rs
+++ b/crates/proxy/src/server/bound_sockets.rs
@@ -7,7 +7,7 @@
 use crate::config::{Config, Origin};
 use crate::error::Error;
 use crate::handover::{Handover, SharedState};
-use crate::peers::Peers;
+use crate::peers::GossipSocket;
 use crate::{admin, frontend, passed_socket};
 
 /// Environment variable with the number of a listening socket's descriptor.
@@ -20,7 +20,7 @@
     pub handover: Option<Rc<Handover>>,
     /// What a predecessor has left.
     pub predecessor: Option<SharedState>,
-    pub peers: Option<Rc<Peers>>,
+    pub peers: Option<Rc<GossipSocket>>,
     pub admin: Option<std::net::TcpListener>,
 }
 
@@ -38,7 +38,7 @@
         let peers = match &config.peers {
             Some(addresses) => {
                 let what = format!("cannot listen for peers on {}", addresses.listen);
-                let peers = Peers::bind(addresses.clone(), handover.is_some());
+                let peers = GossipSocket::bind(addresses.clone(), handover.is_some());
                 Some(peers.map_err(Error::system(what))?)
             }
             None => None,
