--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -79,7 +79,7 @@
 
 /// Reads the cached list from the configuration; `None` if there is none or it is malformed. Invalid entries are
 /// skipped rather than rejecting the list, because a cached list may be out of date anyway.
-pub fn read_cached(list: &Value) -> Option<Vec<ListedEndpoint>> {
+pub fn parse_cached_list(list: &Value) -> Option<Vec<ListedEndpoint>> {
     if list.is_null() {
         return None;
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -12,7 +12,7 @@
 
 pub use call::{CallError, CallReport};
 pub use calls::{Calls, DiscoveryReceiver, DiscoveryReport};
-pub use endpoint_list::{EndpointList, read_cached};
+pub use endpoint_list::{EndpointList, parse_cached_list};
 
 #[cfg(test)]
 mod tests;
--- a/crates/proxy/src/discovery/tests.rs
+++ b/crates/proxy/src/discovery/tests.rs
@@ -1,6 +1,6 @@
 //! Framing and parsing of watches: responses that are split at any byte, truncated or malformed.
 
-use super::endpoint_list::{EndpointList, ListError, read_cached};
+use super::endpoint_list::{EndpointList, ListError, parse_cached_list};
 use super::framing::{Frame, FrameError, Framer};
 use crate::listed_endpoint::{EntryError, Health};
 
@@ -117,7 +117,7 @@
 /// A cached list may be out of date anyway, so one invalid entry must not leave the proxy without any endpoints.
 #[test]
 fn invalid_entries_of_a_cached_list_are_skipped() {
-    let read = |text: &str| read_cached(&serde_json::from_str(text).expect("the text is JSON"));
+    let read = |text: &str| parse_cached_list(&serde_json::from_str(text).expect("the text is JSON"));
     assert_eq!(read("null"), None);
     assert_eq!(read(r#"{"seq":"x"}"#), None);
     let endpoints = read(&format!(r#"{{"seq":1,"whole":true,"hosts":[null,{VALID_ENTRY}]}}"#))
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -201,7 +201,7 @@
         Source::Fixed(endpoints) => Some((ListScope::Full, endpoints)),
         Source::Discovery(_) if predecessor.is_some_and(|left| !left.endpoints.is_empty()) => None,
         Source::Discovery(_) => {
-            let cached = discovery::read_cached(cached_list).unwrap_or_default();
+            let cached = discovery::parse_cached_list(cached_list).unwrap_or_default();
             Some((ListScope::Cached, cached))
         }
     }
