--- a/crates/proxy/src/discovery/calls.rs
+++ b/crates/proxy/src/discovery/calls.rs
@@ -22,7 +22,7 @@
 pub type DiscoveryReceiver = mpsc::UnboundedReceiver<DiscoveryReport>;
 
 /// The open calls to discovery; opens and cancels them.
-pub struct Calls {
+pub struct DiscoveryCalls {
     /// The current address of discovery.
     address: watch::Receiver<SocketAddr>,
     reports: mpsc::UnboundedSender<DiscoveryReport>,
@@ -35,12 +35,12 @@
     task: JoinHandle<()>,
 }
 
-impl Calls {
+impl DiscoveryCalls {
     /// Returns an empty set of calls, and the receiver of reports about future calls and changes of the address.
     pub fn new(address: watch::Receiver<SocketAddr>) -> (Self, DiscoveryReceiver) {
         let (reports, receiver) = mpsc::unbounded_channel();
         spawn_local(report_address_changes(address.clone(), reports.clone()));
-        let calls = Calls { address, reports, open: FxHashMap::default() };
+        let calls = DiscoveryCalls { address, reports, open: FxHashMap::default() };
         (calls, receiver)
     }
 
@@ -70,7 +70,7 @@
     }
 }
 
-impl Drop for Calls {
+impl Drop for DiscoveryCalls {
     fn drop(&mut self) {
         for call in self.open.values() {
             call.task.abort();
--- a/crates/proxy/src/driver/endpoint_updates.rs
+++ b/crates/proxy/src/driver/endpoint_updates.rs
@@ -12,7 +12,9 @@
 use super::Driver;
 use super::endpoints::ListContext;
 use super::start_times::ListTime;
-use crate::discovery::{CallError, CallReport, Calls, DiscoveryReceiver, DiscoveryReport, EndpointList};
+use crate::discovery::{
+    CallError, CallReport, DiscoveryCalls, DiscoveryReceiver, DiscoveryReport, EndpointList,
+};
 use crate::listed_endpoint::ListedEndpoint;
 
 /// The age and the validity of the endpoint list.
@@ -38,7 +40,9 @@
 }
 
 /// Waits for the next report about discovery. Stays pending forever if the endpoint list is fixed.
-pub async fn next_report(discovery: &mut Option<(Calls, DiscoveryReceiver)>) -> Option<DiscoveryReport> {
+pub async fn next_report(
+    discovery: &mut Option<(DiscoveryCalls, DiscoveryReceiver)>,
+) -> Option<DiscoveryReport> {
     match discovery {
         Some((_, reports)) => reports.recv().await,
         None => std::future::pending().await,
@@ -150,7 +154,7 @@
         info!(%address, call = call.0, ?reason, "discovery call cancelled");
     }
 
-    fn calls(&mut self) -> Option<&mut Calls> {
+    fn calls(&mut self) -> Option<&mut DiscoveryCalls> {
         self.parts.discovery.as_mut().map(|(calls, _)| calls)
     }
 
--- a/crates/proxy/src/driver/mod.rs
+++ b/crates/proxy/src/driver/mod.rs
@@ -38,7 +38,7 @@
 
 use crate::admin::CommandRequest;
 use crate::classes::Classes;
-use crate::discovery::{Calls, DiscoveryReceiver};
+use crate::discovery::{DiscoveryCalls, DiscoveryReceiver};
 use crate::handover::Handover;
 use crate::inbox::{Inbox, Input, ReloadedSettings};
 use crate::metrics::Metrics;
@@ -62,7 +62,7 @@
     /// The socket for gossip with the other proxies, if there is one.
     pub peers: Option<Rc<GossipSocket>>,
     /// The calls to discovery and their reports; `None` if the endpoint list is fixed.
-    pub discovery: Option<(Calls, DiscoveryReceiver)>,
+    pub discovery: Option<(DiscoveryCalls, DiscoveryReceiver)>,
     pub metrics: Arc<Metrics>,
     /// Whether an operator has drained the proxy.
     pub drained: Rc<Cell<bool>>,
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -18,7 +18,7 @@
 use crate::body_memory::{BodyMemory, MemoryBudget};
 use crate::classes::Classes;
 use crate::config::{Config, Dialect, Source};
-use crate::discovery::{self, Calls};
+use crate::discovery::{self, DiscoveryCalls};
 use crate::driver::{Driver, DriverParts};
 use crate::error::{DriverEnd, Error};
 use crate::frontend::{Frontend, FrontendParts, SocketLimits};
@@ -119,7 +119,7 @@
         inbox: shared.inbox.clone(),
         upstreams: upstreams.clone(),
         peers,
-        discovery: discovery_address.map(Calls::new),
+        discovery: discovery_address.map(DiscoveryCalls::new),
         metrics: shared.metrics.clone(),
         drained: shared.drained.clone(),
         handover,
