--- a/crates/core/tests/discovery.rs
+++ b/crates/core/tests/discovery.rs
@@ -1,15 +1,16 @@
-//! When discovery is called again after calls that failed.
+//! Backoff between calls to discovery after failed calls.
 use leadrelay_core::{
     Action, Balancer, DiscoveryMode, Event, Limits, ListScope, Prices, Settings, WeightMeaning,
 };
 
-/// A proxy that asks for its lists, and the clock of its ticks.
-struct Asking {
-    proxy: Balancer,
-    next: f64,
+/// A proxy that requests its endpoint lists, and its clock.
+struct DiscoveryClient {
+    balancer: Balancer,
+    /// When the next tick is due, in ms.
+    next_tick: f64,
 }
 
-impl Asking {
+impl DiscoveryClient {
     fn new(seed: u64) -> Self {
         let limits = Limits {
             drain_grace: 2000.0,
@@ -38,41 +39,43 @@
             prices: Prices::default(),
             limits,
         };
-        let mut asking = Asking { proxy: Balancer::new(settings, seed), next: 0.0 };
-        asking.list(ListScope::Cached);
-        assert!(asking.called() < 20.0, "the first call is not put off");
-        asking
+        let mut client = DiscoveryClient { balancer: Balancer::new(settings, seed), next_tick: 0.0 };
+        client.update_list(ListScope::Cached);
+        assert!(client.wait_for_call() < 20.0, "the first call is made at once");
+        client
     }
 
-    fn list(&mut self, scope: ListScope) {
+    /// Passes in an update of the endpoint list without entries.
+    fn update_list(&mut self, scope: ListScope) {
         let mut actions = Vec::new();
-        self.proxy.handle(self.next, Event::List { scope, entries: Vec::new() }, &mut actions);
+        self.balancer.handle(self.next_tick, Event::List { scope, entries: Vec::new() }, &mut actions);
         let timer =
             actions.iter().find_map(|a| if let Action::Timer { at, .. } = a { Some(*at) } else { None });
-        self.next = timer.unwrap_or(self.next);
+        self.next_tick = timer.unwrap_or(self.next_tick);
     }
 
-    /// The wait until the next call, in ms.
-    fn called(&mut self) -> f64 {
-        let from = self.next;
-        while self.next < from + 10_000.0 {
-            let (now, mut actions) = (self.next, Vec::new());
-            self.proxy.handle(now, Event::Timer(0), &mut actions);
+    /// Advances to the next call; returns the wait until then, in ms.
+    fn wait_for_call(&mut self) -> f64 {
+        let started_at = self.next_tick;
+        while self.next_tick < started_at + 10_000.0 {
+            let (now, mut actions) = (self.next_tick, Vec::new());
+            self.balancer.handle(now, Event::Timer(0), &mut actions);
             for action in &actions {
                 if let Action::Timer { at, .. } = action {
-                    self.next = *at;
+                    self.next_tick = *at;
                 }
             }
             if actions.iter().any(|action| matches!(action, Action::Subscribe { .. })) {
-                return now - from;
+                return now - started_at;
             }
         }
-        panic!("it never calls again");
+        panic!("no further call within 10 s");
     }
 
-    fn again(&mut self) -> f64 {
-        self.list(ListScope::Failed);
-        self.called()
+    /// Fails the open call; returns the wait until the next call, in ms.
+    fn fail_call(&mut self) -> f64 {
+        self.update_list(ListScope::Failed);
+        self.wait_for_call()
     }
 }
 
@@ -80,14 +83,23 @@
 fn failed_calls_back_off_with_full_jitter() {
     let mut waits: Vec<Vec<f64>> = vec![Vec::new(); 5];
     for seed in 0..400 {
-        let mut asking = Asking::new(seed);
-        waits.iter_mut().for_each(|all| all.push(asking.again()));
+        let mut client = DiscoveryClient::new(seed);
+        waits.iter_mut().for_each(|waits_of_call| waits_of_call.push(client.fail_call()));
     }
-    for (all, bound) in waits.iter().zip([500.0, 1000.0, 2000.0, 2000.0, 2000.0]) {
-        let (most, mean) = (all.iter().fold(0.0, |a: f64, b| a.max(*b)), all.iter().sum::<f64>() / 400.0);
-        assert!(most <= bound + 40.0 && most > 0.9 * bound, "up to {most} of {bound}");
-        assert!((mean - bound / 2.0).abs() < 0.1 * bound + 20.0, "{mean} on the mean of {bound}");
-        assert!(all.iter().any(|wait| *wait < 0.1 * bound + 40.0), "none at once");
+    for (waits_of_call, bound) in waits.iter().zip([500.0, 1000.0, 2000.0, 2000.0, 2000.0]) {
+        let (longest, mean) = (
+            waits_of_call.iter().fold(0.0, |a: f64, b| a.max(*b)),
+            waits_of_call.iter().sum::<f64>() / 400.0,
+        );
+        assert!(
+            longest <= bound + 40.0 && longest > 0.9 * bound,
+            "the longest wait is {longest}, with a bound of {bound}"
+        );
+        assert!(
+            (mean - bound / 2.0).abs() < 0.1 * bound + 20.0,
+            "the mean wait is {mean}, with a bound of {bound}"
+        );
+        assert!(waits_of_call.iter().any(|wait| *wait < 0.1 * bound + 40.0), "no wait is close to 0");
     }
 }
 
@@ -95,12 +107,12 @@
 fn received_list_resets_backoff() {
     for scope in [ListScope::Full, ListScope::Delta] {
         for seed in 0..50 {
-            let mut asking = Asking::new(seed);
+            let mut client = DiscoveryClient::new(seed);
             for _ in 0..5 {
-                asking.again();
+                client.fail_call();
             }
-            asking.list(scope);
-            assert!(asking.again() <= 540.0);
+            client.update_list(scope);
+            assert!(client.fail_call() <= 540.0);
         }
     }
 }
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,11 +1,12 @@
-//! Limits on the source of the core: files stay short and narrow, and keep to what they may know.
+//! Limits on the source of the core: the size of files, the policy files in the deploy file, and no access to clocks,
+//! threads, globals or input.
 use std::path::{Path, PathBuf};
 
-/// Lines of a source file at most.
+/// Maximum number of lines of a source file.
 const MAX_LINES: usize = 300;
-/// Characters of a line at most.
+/// Maximum number of characters of a line.
 const MAX_COLUMNS: usize = 120;
-/// Files and folders of the core that hold its interface and no decision.
+/// Files and folders of the core that define its interface and make no decisions.
 const INTERFACE: [&str; 11] = [
     "actions.rs",
     "decision.rs",
@@ -24,7 +25,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// All source files of the core, relative to its source folder, with their text.
+/// Returns the path of each source file of the core, relative to its source folder, and its text.
 fn sources() -> Vec<(String, String)> {
     let source = root().join("crates/core/src");
     let mut folders = vec![source.clone()];
@@ -43,8 +44,8 @@
     sources
 }
 
-/// The files that decide, as the deploy file names them.
-fn policy() -> Vec<String> {
+/// Returns the files that make decisions, as the deploy file lists them.
+fn listed_policy_files() -> Vec<String> {
     let deploy: toml::Table =
         std::fs::read_to_string(root().join("deploy/balancer.toml")).unwrap().parse().unwrap();
     let names = deploy["policy"].as_array().expect("a list").iter();
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn source_files_stay_short_and_narrow() {
+fn source_files_keep_to_maximum_lines_and_columns() {
     for (name, text) in sources() {
         let lines = text.lines().count();
         assert!(lines <= MAX_LINES, "{name}: {lines} lines");
@@ -64,17 +65,17 @@
 }
 
 #[test]
-fn deploy_file_names_every_file_that_decides() {
-    let mut deciding: Vec<String> = sources()
+fn deploy_file_lists_every_policy_file() {
+    let mut policy_files: Vec<String> = sources()
         .into_iter()
         .map(|(name, _)| name)
-        .filter(|name| !INTERFACE.contains(&name.split('/').next().expect("a first part")))
+        .filter(|name| !INTERFACE.contains(&name.split('/').next().expect("a first path component")))
         .map(|name| format!("crates/core/src/{name}"))
         .collect();
-    deciding.sort();
-    let mut named = policy();
-    named.sort();
-    assert_eq!(named, deciding);
+    policy_files.sort();
+    let mut listed = listed_policy_files();
+    listed.sort();
+    assert_eq!(listed, policy_files);
 }
 
 #[test]
@@ -84,7 +85,7 @@
             let line = line.trim_start().trim_start_matches("pub(crate) ").trim_start_matches("pub ");
             line.starts_with("static ") || line.contains("thread_local!")
         };
-        assert!(!text.lines().any(declares), "a static in {name}");
+        assert!(!text.lines().any(declares), "a global in {name}");
         for word in ["std::time", "std::thread", "std::io", "std::env", "std::net", "println!", "unsafe {"] {
             assert!(!text.contains(word), "{word} in {name}");
         }
--- a/crates/core/tests/properties.rs
+++ b/crates/core/tests/properties.rs
@@ -1,27 +1,30 @@
-//! The four rules over seeded random but legal event streams, watched by an independent checker.
+//! Property tests: the four rules of `Checker` hold on streams of random but legal events, made from seeds.
 mod common;
 use common::*;
 use leadrelay_core::*;
 
-enum Due {
+/// An event that is due at a later time.
+enum PendingEvent {
     Timer(u64),
     Ended(u64, u32, Millis, Outcome),
     Message(Vec<u8>),
 }
 
-/// A random source of legal events around one proxy. It is no model of endpoints.
+/// A random source of legal events for one proxy. It does not model the behavior of endpoints.
 struct Simulation {
     rng: fastrand::Rng,
     now: Millis,
     balancer: Balancer,
     settings: Settings,
     checker: Checker,
-    due: Vec<(Millis, Due)>,
+    pending: Vec<(Millis, PendingEvent)>,
     list: Vec<Endpoint>,
-    ends: std::collections::HashMap<u64, (Millis, u32, bool)>,
-    next: u64,
-    /// Of invariants, by all processes so far.
+    /// Deadline, number of attempts, and whether it is finished, of each request.
+    requests: std::collections::HashMap<u64, (Millis, u32, bool)>,
+    next_id: u64,
+    /// Violations of invariants, in all processes of the proxy so far.
     violations: u64,
+    /// Changes the actions of the balancer, so that a test can break rules on purpose.
     tamper: fn(&mut Vec<Action>),
 }
 
@@ -35,40 +38,41 @@
             rng,
             now: 5000.0,
             settings,
-            due: vec![],
+            pending: vec![],
             list,
-            ends: Default::default(),
-            next: 0,
+            requests: Default::default(),
+            next_id: 0,
             violations: 0,
             tamper,
         }
     }
 
     fn handle(&mut self, event: Event) {
-        self.checker.event(self.now, &event);
+        self.checker.record_event(self.now, &event);
         let mut out = vec![];
         self.balancer.handle(self.now, event, &mut out);
         (self.tamper)(&mut out);
         for action in out {
-            self.checker.action(self.now, &action);
+            self.checker.check_action(self.now, &action);
             match action {
                 Action::Timer { token, at } => {
-                    let late = self.rng.f64() * 5.0;
-                    self.due.push((at.max(self.now) + late, Due::Timer(token)));
+                    let delay = self.rng.f64() * 5.0;
+                    self.pending.push((at.max(self.now) + delay, PendingEvent::Timer(token)));
                 }
                 Action::Send { request, .. } => self.attempt(request.0),
                 Action::Reject { request, .. } | Action::Fail(request) => {
-                    if let Some(e) = self.ends.get_mut(&request.0) {
+                    if let Some(e) = self.requests.get_mut(&request.0) {
                         e.2 = true;
                     }
                 }
                 Action::Broadcast(bytes) => {
                     assert!(bytes.len() <= 256);
                     if self.rng.f64() < 0.5 {
-                        self.due.push((self.now + 10.0, Due::Message(bytes))); // as if a peer said the like
+                        // As if a peer had sent the same message.
+                        self.pending.push((self.now + 10.0, PendingEvent::Message(bytes)));
                     }
                 }
-                Action::Unsubscribe { .. } => {} // calls end by themselves here
+                Action::Unsubscribe { .. } => {} // in this simulation every call ends by itself
                 Action::Subscribe { .. } => {
                     let scope = if self.rng.bool() { ListScope::Full } else { ListScope::Failed };
                     let entries = if scope == ListScope::Full { self.list.clone() } else { vec![] };
@@ -79,8 +83,8 @@
     }
 
     fn attempt(&mut self, id: u64) {
-        let Some(e) = self.ends.get_mut(&id) else { return };
-        let (due, n) = (e.0, e.1);
+        let Some(e) = self.requests.get_mut(&id) else { return };
+        let (deadline, attempt) = (e.0, e.1);
         e.1 += 1;
         let x = self.rng.f64();
         let (latency, outcome) = match x {
@@ -92,9 +96,12 @@
             x if x < 0.92 => (0.0, Outcome::Withdrawn),
             _ => (1e9, Outcome::TimedOut),
         };
-        let (latency, outcome) =
-            if self.now + latency > due { (due - self.now, Outcome::TimedOut) } else { (latency, outcome) };
-        self.due.push((self.now + latency, Due::Ended(id, n, latency, outcome)));
+        let (latency, outcome) = if self.now + latency > deadline {
+            (deadline - self.now, Outcome::TimedOut)
+        } else {
+            (latency, outcome)
+        };
+        self.pending.push((self.now + latency, PendingEvent::Ended(id, attempt, latency, outcome)));
     }
 
     fn change_list(&mut self) {
@@ -102,9 +109,9 @@
         let mut entries = vec![];
         match self.rng.u32(0..6) {
             0 => {
-                let fresh = Endpoint { started_at: Some(self.now), ..endpoint(100 + self.next) };
-                self.list.push(fresh.clone());
-                entries.push(fresh);
+                let started = Endpoint { started_at: Some(self.now), ..endpoint(100 + self.next_id) };
+                self.list.push(started.clone());
+                entries.push(started);
             }
             1 | 2 if n > 0 => {
                 let k = self.rng.usize(0..self.list.len());
@@ -116,44 +123,45 @@
                 let k = self.rng.usize(0..self.list.len());
                 (self.list[k].state, self.list[k].started_at) = (EndpointState::Up, Some(self.now - 300.0));
                 entries.push(self.list[k].clone());
-                entries.push(self.list[k].clone()); // a repeated line does no harm
+                entries.push(self.list[k].clone()); // a repeated entry has no effect
             }
             4 => return self.handle(Event::List { scope: ListScope::Failed, entries: vec![] }),
             _ => {
                 self.list.retain(|b| b.state != EndpointState::Removed);
                 let entries = self.list.clone();
-                return self.handle(full(entries));
+                return self.handle(full_list(entries));
             }
         }
         self.handle(Event::List { scope: ListScope::Delta, entries });
     }
 
     fn run(mut self, span: Millis) -> Vec<String> {
-        self.play(span);
+        self.simulate(span);
         self.checker.breaches
     }
 
-    fn play(&mut self, span: Millis) {
+    fn simulate(&mut self, span: Millis) {
         let end = self.now + span;
         let entries = self.list.clone();
         self.handle(Event::List { scope: ListScope::Cached, entries });
         let mut arrival = self.now;
         while self.now < end + 4000.0 {
-            let first = (0..self.due.len()).min_by(|a, b| self.due[*a].0.total_cmp(&self.due[*b].0));
-            let at = first.map_or(f64::INFINITY, |i| self.due[i].0);
+            let next_event =
+                (0..self.pending.len()).min_by(|a, b| self.pending[*a].0.total_cmp(&self.pending[*b].0));
+            let at = next_event.map_or(f64::INFINITY, |i| self.pending[i].0);
             if arrival <= at && arrival < end {
                 self.now = self.now.max(arrival);
                 arrival += -(self.rng.f64() + 1e-9).ln() * if self.rng.f64() < 0.1 { 60.0 } else { 6.0 };
-                self.step();
+                self.inject_event();
             } else {
-                let Some(i) = first else { break };
-                let (at, due) = self.due.swap_remove(i);
+                let Some(i) = next_event else { break };
+                let (at, event) = self.pending.swap_remove(i);
                 self.now = self.now.max(at);
-                match due {
-                    Due::Timer(token) => self.handle(Event::Timer(token)),
-                    Due::Message(bytes) => self.handle(Event::Gossip { from: 1, bytes }),
-                    Due::Ended(id, attempt, latency, outcome) => {
-                        let Some(e) = self.ends.get_mut(&id) else { continue };
+                match event {
+                    PendingEvent::Timer(token) => self.handle(Event::Timer(token)),
+                    PendingEvent::Message(bytes) => self.handle(Event::Gossip { from: 1, bytes }),
+                    PendingEvent::Ended(id, attempt, latency, outcome) => {
+                        let Some(e) = self.requests.get_mut(&id) else { continue };
                         e.2 |= outcome == Outcome::Served;
                         let finished = e.2;
                         let request = RequestId(id);
@@ -166,26 +174,26 @@
         self.violations += self.balancer.violations().total();
     }
 
-    fn step(&mut self) {
+    fn inject_event(&mut self) {
         match self.rng.u32(0..400) {
             0..6 => self.change_list(),
             6 => {
-                // Killed and started again: nothing of what it held comes back.
+                // The process is killed and starts again without its former state.
                 self.violations += self.balancer.violations().total();
-                self.balancer = Balancer::new(self.settings.clone(), self.next);
+                self.balancer = Balancer::new(self.settings.clone(), self.next_id);
                 self.checker.restart();
-                self.ends.clear();
-                self.due.clear();
+                self.requests.clear();
+                self.pending.clear();
                 let entries = self.list.clone();
                 self.handle(Event::List { scope: ListScope::Cached, entries });
             }
-            7..10 => self.handle(Event::Gossip { from: self.next as u32 % 9, bytes: vec![1, 0, 9, 3] }),
-            10..14 => self.handle(ended(self.next + 999, 3, 1.0, Outcome::Error)), // of an unknown request
+            7..10 => self.handle(Event::Gossip { from: self.next_id as u32 % 9, bytes: vec![1, 0, 9, 3] }),
+            10..14 => self.handle(ended(self.next_id + 999, 3, 1.0, Outcome::Error)), // for an unknown request
             14..20 => {
-                if let Some(id) = self.ends.keys().min().copied() {
-                    self.ends.get_mut(&id).unwrap().2 = true;
+                if let Some(id) = self.requests.keys().min().copied() {
+                    self.requests.get_mut(&id).unwrap().2 = true;
                     self.handle(Event::ClientClosed(RequestId(id)));
-                    self.ends.retain(|_, e| !e.2 || e.1 > 0);
+                    self.requests.retain(|_, e| !e.2 || e.1 > 0);
                 }
             }
             _ => {
@@ -194,9 +202,9 @@
                 let timeout = c.deadline * [0.005, 0.34, 0.7, 1.0][self.rng.usize(0..4)];
                 let key = self.rng.bool().then(|| AffinityKey(self.rng.u64(0..20)));
                 let tenant = (!self.settings.tenants.is_empty()).then_some(TenantId(0));
-                let id = RequestId(self.next);
-                self.ends.insert(self.next, (self.now + timeout, 0, false));
-                self.next += 1;
+                let id = RequestId(self.next_id);
+                self.requests.insert(self.next_id, (self.now + timeout, 0, false));
+                self.next_id += 1;
                 self.handle(Event::Request {
                     id,
                     class: ClassId(class),
@@ -221,30 +229,32 @@
         discovery: DiscoveryMode::OnRequest,
         ..base.clone()
     });
-    let mut one = Settings {
+    let mut with_quota = Settings {
         weight_meaning: WeightMeaning::Unknown,
         tenants: vec![Tenant { quota_per_second: 3.0 }],
         ..base
     };
-    one.limits.max_attempts = 2;
-    one.classes.remove(0);
-    one.classes[1].idempotency = Idempotency::WithKey { scope: DeduplicationScope::Zone, window: 300.0 };
-    all.push(one);
-    let mut late = settings(4);
-    late.classes.iter_mut().for_each(|c| c.late_fraction = 0.3);
-    late.classes[2].idempotency = Idempotency::WithKey { scope: DeduplicationScope::All, window: 600.0 };
-    all.push(late);
+    with_quota.limits.max_attempts = 2;
+    with_quota.classes.remove(0);
+    with_quota.classes[1].idempotency =
+        Idempotency::WithKey { scope: DeduplicationScope::Zone, window: 300.0 };
+    all.push(with_quota);
+    let mut late_earns = settings(4);
+    late_earns.classes.iter_mut().for_each(|c| c.late_fraction = 0.3);
+    late_earns.classes[2].idempotency =
+        Idempotency::WithKey { scope: DeduplicationScope::All, window: 600.0 };
+    all.push(late_earns);
     all
 }
 
 #[test]
-fn rules_hold_over_random_streams() {
-    for (v, settings) in variants().into_iter().enumerate() {
+fn rules_hold_on_random_event_streams() {
+    for (variant, settings) in variants().into_iter().enumerate() {
         for seed in 0..12 {
             let breaches = Simulation::new(seed, settings.clone(), |_| {}).run(20_000.0);
             assert!(
                 breaches.is_empty(),
-                "variant {v}, seed {seed}: {:?}",
+                "variant {variant}, seed {seed}: {:?}",
                 &breaches[..breaches.len().min(3)]
             );
         }
@@ -253,11 +263,11 @@
 
 #[test]
 fn no_decision_breaks_an_invariant() {
-    for (v, settings) in variants().into_iter().enumerate() {
+    for (variant, settings) in variants().into_iter().enumerate() {
         for seed in 0..12 {
             let mut simulation = Simulation::new(seed, settings.clone(), |_| {});
-            simulation.play(20_000.0);
-            assert_eq!(simulation.violations, 0, "variant {v}, seed {seed}");
+            simulation.simulate(20_000.0);
+            assert_eq!(simulation.violations, 0, "variant {variant}, seed {seed}");
         }
     }
 }
@@ -279,25 +289,29 @@
     assert_eq!(run(), run());
 }
 
-fn caught(tamper: fn(&mut Vec<Action>), what: &str) {
-    let all: Vec<String> =
+fn assert_reported(tamper: fn(&mut Vec<Action>), expected: &str) {
+    let breaches: Vec<String> =
         (0..40).flat_map(|seed| Simulation::new(seed, settings(4), tamper).run(20_000.0)).collect();
-    assert!(all.iter().any(|b| b.contains(what)), "the checker missed '{what}': {:?}", all.first());
+    assert!(
+        breaches.iter().any(|b| b.contains(expected)),
+        "the checker missed '{expected}': {:?}",
+        breaches.first()
+    );
 }
 
-/// The checker must be able to fail: each rule is broken on purpose and seen.
+/// Guards against a checker that never fails: breaks each rule on purpose and requires that the checker reports it.
 #[test]
-fn checker_sees_broken_rules() {
-    caught(
+fn checker_reports_broken_rules() {
+    assert_reported(
         |out| {
-            let twice: Vec<Action> =
+            let repeated: Vec<Action> =
                 out.iter().filter(|a| matches!(a, Action::Send { .. })).cloned().collect();
-            out.extend(twice);
+            out.extend(repeated);
         },
         "never run twice",
     );
-    caught(|out| out.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_))), "in time");
-    caught(
+    assert_reported(|out| out.retain(|a| !matches!(a, Action::Reject { .. } | Action::Fail(_))), "in time");
+    assert_reported(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Fail(request) = *a {
@@ -307,7 +321,7 @@
         },
         "which may have run",
     );
-    caught(
+    assert_reported(
         |out| {
             for a in out.iter_mut() {
                 if let Action::Send { endpoint, .. } = a {
@@ -315,9 +329,9 @@
                 }
             }
         },
-        "told to drain",
+        "draining or removed",
     );
-    caught(
+    assert_reported(
         |out| {
             let is_to_slow_start =
                 |a: &&Action| matches!(a, Action::Send { endpoint, .. } if endpoint.0 >= 100);
@@ -325,6 +339,6 @@
                 out.extend(std::iter::repeat_n(a, 40));
             }
         },
-        "pushed cold",
+        "in slow start",
     );
 }
