--- a/crates/proxy/src/body_memory.rs
+++ b/crates/proxy/src/body_memory.rs
@@ -1,49 +1,49 @@
-//! Bounds the memory of all bodies that are not small.
+//! Memory budgets for request and response bodies, except small ones.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Bytes that one permit stands for.
+/// Bytes of memory that one semaphore permit represents.
 const BYTES_PER_PERMIT: usize = 1 << 10;
-/// However little memory is configured, a chunk must fit.
+/// Smallest number of permits in a budget, so that one chunk fits into it however little memory is configured.
 const MIN_PERMITS: usize = 64;
 
-/// A bound on the memory of bodies.
+/// A limit on the memory that bodies occupy. Clones share the same budget.
 #[derive(Clone)]
 pub struct MemoryBudget(Arc<Semaphore>);
 
-/// Memory of a budget, reserved until this is dropped.
+/// Memory reserved from a budget. Dropping the reservation releases it.
 pub type MemoryReservation = OwnedSemaphorePermit;
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `bytes`, rounded down to whole permits and raised to the minimum.
     pub fn new(bytes: usize) -> Self {
         let permits = (bytes / BYTES_PER_PERMIT).max(MIN_PERMITS);
         MemoryBudget(Arc::new(Semaphore::new(permits)))
     }
 
-    /// Waits until this much can be reserved.
+    /// Reserves `bytes`, waiting until the budget has that much left.
     pub async fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         self.0.clone().acquire_many_owned(permits(bytes)).await.ok()
     }
 
-    /// Reserves this much if it is available now.
+    /// Reserves `bytes` if the budget has that much left now.
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         self.0.clone().try_acquire_many_owned(permits(bytes)).ok()
     }
 }
 
 fn permits(bytes: usize) -> u32 {
-    bytes.div_ceil(BYTES_PER_PERMIT) as u32 // a chunk is far smaller than a u32 can count
+    bytes.div_ceil(BYTES_PER_PERMIT) as u32 // never truncates: a chunk needs far fewer permits than u32::MAX
 }
 
-/// Memory for all bodies that are not small. The budgets are separate, so that slow clients can't take that of streamed
-/// bodies.
+/// The memory budgets for all bodies that are not small. They are separate so that slow clients, whose requests occupy
+/// the read-ahead budget, can't use up the memory of streamed bodies.
 pub struct BodyMemory {
-    /// For the chunks of streamed bodies.
+    /// Budget for the chunks of streamed bodies.
     pub streamed: MemoryBudget,
-    /// For what is read of requests before they are submitted.
+    /// Budget for the part of each request body that is read before the request is submitted.
     pub read_ahead: MemoryBudget,
 }
 
--- a/crates/proxy/src/body_stream.rs
+++ b/crates/proxy/src/body_stream.rs
@@ -1,4 +1,4 @@
-//! Streamed bodies: those too long to be buffered are forwarded chunk by chunk.
+//! Streamed bodies: a body that is too long to be buffered is forwarded chunk by chunk.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -9,12 +9,12 @@
 
 use crate::body_memory::MemoryReservation;
 
-/// Longest body in either direction, in bytes.
+/// Longest request or response body that is forwarded, in bytes.
 pub const MAX_BODY_BYTES: u64 = 36 << 20;
 
-/// A chunk of a body. A body whose chunks stop without `End` is incomplete.
+/// A chunk of a streamed body. If the channel closes without an `End`, the body is incomplete.
 pub enum BodyChunk {
-    /// Bytes, and the memory reserved for them.
+    /// Bytes of the body and the memory reserved for them.
     Data(Bytes, Option<MemoryReservation>),
     /// The body is complete.
     End,
@@ -23,47 +23,49 @@
 /// The sending end of a [`BodyStream`].
 pub type BodySender = mpsc::Sender<BodyChunk>;
 
-/// Called once with whether the stream ended complete. Dropped without a call if nobody reads to the end.
+/// Callback for the end of a stream. It is called at most once, with `true` if the body was complete, and dropped
+/// without a call if the stream is dropped before its end has been read.
 pub type OnEnd = Box<dyn FnOnce(bool)>;
 
-/// A body that is received while it is sent.
+/// A body that is sent while it is still being received.
 pub struct BodyStream {
     chunks: mpsc::Receiver<BodyChunk>,
-    /// Bytes to come, if that is known.
+    /// Bytes of the body that have not been read yet, if its length is known.
     remaining: Option<u64>,
     on_end: Option<OnEnd>,
 }
 
-/// The sender of a body has not finished it.
+/// The error of a stream whose sender stopped before the body was complete.
 #[derive(Debug, thiserror::Error)]
 #[error("body incomplete")]
 pub struct IncompleteBody;
 
 impl BodyStream {
-    /// A stream and its sending end. The length is that of the complete body, if it is known.
+    /// Creates a stream and its sending end. `length` is the length of the complete body, if it is known.
     pub fn new(length: Option<u64>) -> (BodySender, Self) {
         let (sender, chunks) = mpsc::channel(1);
         let stream = BodyStream { chunks, remaining: length, on_end: None };
         (sender, stream)
     }
 
-    /// Sets what is called when the stream ends.
+    /// Sets the callback for the end of the stream.
     pub fn on_end(&mut self, on_end: OnEnd) {
         self.on_end = Some(on_end);
     }
 
-    fn end(&mut self, complete: bool) {
+    fn report_end(&mut self, complete: bool) {
         if let Some(on_end) = self.on_end.take() {
             on_end(complete);
         }
     }
 
-    /// Counts bytes of the body. With the last one of a known length the stream has ended: it is not polled again.
-    fn count(&mut self, bytes: usize) {
+    /// Subtracts bytes that have been read. The last byte of a body of known length ends the stream here, because hyper
+    /// does not poll the stream again after it.
+    fn record_read(&mut self, bytes: usize) {
         let Some(remaining) = &mut self.remaining else { return };
         *remaining = remaining.saturating_sub(bytes as u64);
         if *remaining == 0 {
-            self.end(true);
+            self.report_end(true);
         }
     }
 }
@@ -80,15 +82,15 @@
         }
         match ready!(self.chunks.poll_recv(cx)) {
             Some(BodyChunk::Data(data, _reservation)) => {
-                self.count(data.len());
+                self.record_read(data.len());
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             Some(BodyChunk::End) if self.remaining.is_none() => {
-                self.end(true);
+                self.report_end(true);
                 Poll::Ready(None)
             }
             Some(BodyChunk::End) | None => {
-                self.end(false);
+                self.report_end(false);
                 Poll::Ready(Some(Err(IncompleteBody)))
             }
         }
--- a/crates/proxy/src/body_stream/tests.rs
+++ b/crates/proxy/src/body_stream/tests.rs
@@ -1,4 +1,4 @@
-//! The end of a streamed body.
+//! Tests of how a streamed body ends.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,10 +7,12 @@
 
 use super::*;
 
-/// How a stream ended: for its reader, which gets the number of bytes, and for its callback.
+/// How a stream ended, as its reader and its callback saw it.
 #[derive(Debug, PartialEq)]
 struct StreamEnd {
+    /// Bytes read, or `None` if the reader got an error.
     bytes_read: Option<usize>,
+    /// The callback's argument, or `None` if it was not called.
     reported_complete: Option<bool>,
 }
 
@@ -31,9 +33,11 @@
     }
 }
 
+// Guards against a truncated body that passes as complete: its sender stops without `End`, or before the announced
+// length.
 #[test]
 fn stream_is_complete_only_with_its_end_or_its_length() {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("failed to build the runtime");
     let run = |length, chunks| runtime.block_on(collect(length, chunks));
     let data = || BodyChunk::Data(Bytes::from_static(b"1234"), None);
     let complete = || StreamEnd { bytes_read: Some(8), reported_complete: Some(true) };
--- a/crates/proxy/src/body_upload.rs
+++ b/crates/proxy/src/body_upload.rs
@@ -1,4 +1,4 @@
-//! Receives clients' bodies at the pace that a client has to keep, and forwards the rest of those that are streamed.
+//! Receives request bodies, enforces a minimum rate on clients, and forwards the rest of streamed bodies.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,17 +12,18 @@
 use crate::body_memory::{MemoryBudget, MemoryReservation};
 use crate::body_stream::{BodyChunk, BodySender, MAX_BODY_BYTES};
 
-/// The slowest sender that is waited for, in bytes a second; half of what clients keep up.
+/// Minimum average rate at which a client has to send its body, in bytes per second: half of the rate that clients
+/// sustain.
 const MIN_BYTES_PER_SECOND: f64 = 32.0 * 1024.0;
-/// By how much a sender may lag behind that, at least.
+/// Minimum time by which a client may lag behind that rate.
 const MIN_ALLOWED_LAG: Duration = Duration::from_millis(400);
-/// Longest pause of a client within a body, once its allowed lag is used up.
+/// Longest wait for the next chunk of a body once the client has used up its allowed lag.
 const MAX_PAUSE: Duration = Duration::from_secs(1);
 
-/// Why a client's body is not received any further.
+/// Why receiving a client's body was aborted.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum BodyError {
-    /// The client is too slow.
+    /// The client sends more slowly than the minimum rate.
     #[error("body too slow")]
     TooSlow,
     /// The body is malformed or too long.
@@ -30,59 +31,63 @@
     Malformed,
 }
 
-/// Receives a body, and follows how fast its client sends it. The time for which it is not read does not count.
+/// Receives a body and checks how fast its client sends it. Only time spent waiting for the client counts; time
+/// during which the proxy does not read is excluded.
 pub struct BodyReceiver {
     body: Incoming,
+    /// Time by which the client may lag behind the minimum rate.
     allowed_lag: Duration,
-    /// How long the client has been waited for.
-    waited: Duration,
-    received: usize,
-    /// Set once the end has been received.
-    ended: Rc<Cell<bool>>,
+    /// Total time spent waiting for chunks.
+    time_waited: Duration,
+    /// Bytes received.
+    bytes_received: usize,
+    /// Set to true once the end of the body has been received.
+    has_ended: Rc<Cell<bool>>,
 }
 
 impl BodyReceiver {
-    /// A small body has the time that is left for the complete request, until `deadline`. Sets `ended` once its end has
-    /// been received.
-    pub fn new(body: Incoming, deadline: Instant, ended: Rc<Cell<bool>>) -> Self {
+    /// Creates a receiver that sets `has_ended` once it has received the end of the body. The client may lag behind the
+    /// minimum rate by the time left until `deadline`, so a small body may take until the deadline of the complete
+    /// request.
+    pub fn new(body: Incoming, deadline: Instant, has_ended: Rc<Cell<bool>>) -> Self {
         let remaining = deadline.saturating_duration_since(Instant::now());
         BodyReceiver {
             body,
             allowed_lag: remaining.max(MIN_ALLOWED_LAG),
-            waited: Duration::ZERO,
-            received: 0,
-            ended,
+            time_waited: Duration::ZERO,
+            bytes_received: 0,
+            has_ended,
         }
     }
 
-    /// Bytes received.
-    pub fn received(&self) -> usize {
-        self.received
+    /// The number of bytes received.
+    pub fn bytes_received(&self) -> usize {
+        self.bytes_received
     }
 
-    /// Bytes still to come, if that is known.
-    pub fn remaining(&self) -> Option<u64> {
+    /// The number of bytes still to be received, if the body's length is known.
+    pub fn bytes_remaining(&self) -> Option<u64> {
         hyper::body::Body::size_hint(&self.body).exact()
     }
 
-    /// The next chunk, or `None` at the end.
+    /// Receives the next chunk; `None` at the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyError> {
         loop {
             let max_wait = self.max_wait();
             let started_at = Instant::now();
             let frame = timeout(max_wait, self.body.frame()).await;
-            self.waited += started_at.elapsed();
+            self.time_waited += started_at.elapsed();
             match frame {
                 Err(_) => return Err(BodyError::TooSlow),
                 Ok(None) => {
-                    self.ended.set(true);
+                    self.has_ended.set(true);
                     return Ok(None);
                 }
                 Ok(Some(Err(_))) => return Err(BodyError::Malformed),
                 // Trailers of a chunked body are not forwarded.
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
-                        self.received += data.len();
+                        self.bytes_received += data.len();
                         return Ok(Some(data));
                     }
                 }
@@ -90,43 +95,44 @@
         }
     }
 
-    /// How long the next chunk is waited for.
+    /// The longest time to wait for the next chunk.
     fn max_wait(&self) -> Duration {
-        let expected = Duration::from_secs_f64(self.received as f64 / MIN_BYTES_PER_SECOND);
-        let until_too_slow = (self.allowed_lag + expected).saturating_sub(self.waited);
-        let max_pause = MAX_PAUSE.max(self.allowed_lag.saturating_sub(self.waited));
+        let expected = Duration::from_secs_f64(self.bytes_received as f64 / MIN_BYTES_PER_SECOND);
+        let until_too_slow = (self.allowed_lag + expected).saturating_sub(self.time_waited);
+        let max_pause = MAX_PAUSE.max(self.allowed_lag.saturating_sub(self.time_waited));
         until_too_slow.min(max_pause)
     }
 }
 
-/// A body of which a part has been received.
+/// A body of which only a part has been received.
 pub struct PartialBody {
-    /// What has been received.
-    pub read: Bytes,
-    /// The memory reserved for it.
+    /// The part that has been received.
+    pub received: Bytes,
+    /// The memory reserved for that part, if any.
     pub memory: Option<MemoryReservation>,
-    /// Receives the rest.
+    /// The receiver of the rest.
     pub rest: BodyReceiver,
 }
 
 impl PartialBody {
-    /// Bytes of the complete body, if that is known.
+    /// The length of the complete body in bytes, if it is known.
     pub fn length(&self) -> Option<u64> {
-        self.rest.remaining().map(|remaining| self.read.len() as u64 + remaining)
+        self.rest.bytes_remaining().map(|remaining| self.received.len() as u64 + remaining)
     }
 }
 
-/// Forwards a client's body: what has been received of it, then the rest. Returns when the end has been forwarded, when
-/// nobody takes more, or with what the client did wrong.
+/// Forwards a client's body: first the part already received, then the rest as it arrives. Returns once the end has
+/// been forwarded or the reader has dropped the stream, or with an error if the client sends the body too slowly or
+/// malformed.
 pub async fn forward_body(
     body: PartialBody, sender: BodySender, memory: MemoryBudget,
 ) -> Result<(), BodyError> {
-    let PartialBody { read, memory: reservation, mut rest } = body;
-    if sender.send(BodyChunk::Data(read, reservation)).await.is_err() {
+    let PartialBody { received, memory: reservation, mut rest } = body;
+    if sender.send(BodyChunk::Data(received, reservation)).await.is_err() {
         return Ok(());
     }
     while let Some(data) = rest.next().await? {
-        if rest.received() as u64 > MAX_BODY_BYTES {
+        if rest.bytes_received() as u64 > MAX_BODY_BYTES {
             return Err(BodyError::Malformed);
         }
         let reservation = memory.reserve(data.len()).await;
@@ -134,6 +140,6 @@
             return Ok(());
         }
     }
-    let _ = sender.send(BodyChunk::End).await; // a reader that knows the length has stopped by now
+    let _ = sender.send(BodyChunk::End).await; // fails if the reader knew the length and has already stopped
     Ok(())
 }
--- a/crates/proxy/src/frontend/admission.rs
+++ b/crates/proxy/src/frontend/admission.rs
@@ -1,4 +1,4 @@
-//! Decides by its head whether a request is accepted.
+//! Admission: accepts or rejects a request by its head, before its body is received.
 
 use hyper::Request;
 use hyper::body::{Body as _, Incoming};
@@ -13,22 +13,23 @@
 use crate::open_ids::ReservedRequestId;
 use crate::rejection::Rejection;
 
-/// A request that is accepted, by its head.
-pub(super) struct AcceptedHead {
+/// A request that has been admitted, with its body not yet received.
+pub(super) struct AdmittedRequest {
     pub(super) meta: RequestMeta,
-    /// Reserves its id, unless another open request has the same.
+    /// Reserves the request's id; `None` if another open request has the same id.
     pub(super) reserved_id: Option<ReservedRequestId>,
     pub(super) head: request::Parts,
     pub(super) body: Incoming,
 }
 
 impl Frontend {
-    /// Accepts or rejects a request by its head.
-    pub(super) fn admit(&self, received: ReceivedHead) -> Result<AcceptedHead, Rejection> {
+    /// Admits or rejects a request by its head.
+    pub(super) fn admit(&self, received: ReceivedHead) -> Result<AdmittedRequest, Rejection> {
         let ReceivedHead { request, raw_head, .. } = received;
         let meta = self.read_head(&request)?;
         let (head, body) = request.into_parts();
-        // Hyper shows only one of two lengths, and one of them lies or hides a second request.
+        // If a request has both Transfer-Encoding and Content-Length, hyper's parsed headers contain only one of the
+        // two. Such a request may be request smuggling: one of the two lengths is wrong or hides a second request.
         let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
         if is_chunked && !raw_head.is_some_and(|raw_head| has_no_content_length(&raw_head, &head.headers)) {
             return Err(Rejection::AmbiguousLength);
@@ -40,10 +41,10 @@
         if meta.requires_unique_id && reserved_id.is_none() {
             return Err(Rejection::IdInUse);
         }
-        Ok(AcceptedHead { meta, reserved_id, head, body })
+        Ok(AdmittedRequest { meta, reserved_id, head, body })
     }
 
-    /// Reads a request's head.
+    /// Parses a request's head and looks up its class.
     pub(super) fn read_head(&self, request: &Request<Incoming>) -> Result<RequestMeta, Rejection> {
         let number = self.next_number.get();
         head::read(&self.classes.borrow(), request.method(), request.uri(), request.headers(), number)
--- a/crates/proxy/src/frontend/body.rs
+++ b/crates/proxy/src/frontend/body.rs
@@ -1,4 +1,4 @@
-//! Receives a request's body before the request is submitted, and streams the rest of a long one.
+//! Receives a request's body before the request is submitted, and streams the rest of a long body.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,28 +17,29 @@
 use crate::inbox::Input;
 use crate::upstream::{RequestBody, Upload};
 
-/// Bytes of a body that are received before the request is submitted, if there is memory: until then a slow client
-/// occupies no backend, and a body that is complete by then can be sent again.
+/// Bytes of a body that are received before the request is submitted, if the memory budget allows it. A slow client
+/// occupies no backend during that time, and a body that is complete by then can be resent in a retry.
 const MAX_READ_AHEAD_BYTES: usize = 128 << 10;
-/// Bytes of a body for which every connection has memory.
+/// Bytes of a body that every connection may buffer without reserving memory from the budget.
 const SMALL_BODY_BYTES: usize = 16 << 10;
 
-/// What has been received of a body when its request is submitted.
+/// The part of a body that has been received when its request is submitted.
 enum ReadAhead {
     Complete { bytes: Bytes, memory: Option<MemoryReservation> },
     Partial(PartialBody),
 }
 
-/// A request's body in the form in which it is sent.
+/// A request's body as it is sent to a backend.
 pub(super) struct ReceivedBody<U> {
     pub(super) body: RequestBody,
-    /// Receives the rest of a streamed body, for as long as it is polled.
+    /// The future that receives and forwards the rest of a streamed body; `None` for a buffered body.
     pub(super) upload: Option<U>,
 }
 
 impl Frontend {
-    /// Receives a request's body until its deadline, as far as it is buffered. The response to a streamed one may take
-    /// `response_timeout` from its last byte on, less the time that it has waited for an attempt.
+    /// Receives a request's body, or its first part if the body is to be streamed, within the request's deadline. For a
+    /// streamed body, the client waits `response_timeout` after the body's last byte for the response, less the time
+    /// for which the request waited for its attempt to start.
     pub(super) async fn receive_body(
         &self, body: Incoming, client: &Client, id: RequestId, response_timeout: Duration,
     ) -> Result<ReceivedBody<impl Future<Output = Result<(), BodyError>>>, BodyError> {
@@ -56,7 +57,7 @@
         Ok(ReceivedBody { body, upload: Some(upload) })
     }
 
-    /// A streamed body that notifies the driver when an attempt starts to read it, and when it is complete.
+    /// Wraps a streamed body so that the driver is notified when an attempt starts to read it and when it is complete.
     fn upload(&self, stream: BodyStream, id: RequestId, response_timeout: Duration) -> Upload {
         let on_start_inbox = self.inbox.clone();
         let on_complete_inbox = self.inbox.clone();
@@ -70,21 +71,21 @@
         }
     }
 
-    /// Receives a body to its end, or as far as there is memory for it.
+    /// Receives a body to its end, or until it exceeds the limit for which there is memory.
     async fn read_ahead(&self, mut receiver: BodyReceiver) -> Result<ReadAhead, BodyError> {
-        let mut read = BytesMut::new();
+        let mut received = BytesMut::new();
         let mut memory = None;
         while let Some(data) = receiver.next().await? {
-            read.extend_from_slice(&data);
-            if receiver.received() > SMALL_BODY_BYTES && memory.is_none() {
+            received.extend_from_slice(&data);
+            if receiver.bytes_received() > SMALL_BODY_BYTES && memory.is_none() {
                 memory = self.upstreams.memory.read_ahead.try_reserve(MAX_READ_AHEAD_BYTES);
             }
             let limit = if memory.is_some() { MAX_READ_AHEAD_BYTES } else { SMALL_BODY_BYTES };
-            if receiver.received() > limit {
-                let partial = PartialBody { read: read.freeze(), memory, rest: receiver };
+            if receiver.bytes_received() > limit {
+                let partial = PartialBody { received: received.freeze(), memory, rest: receiver };
                 return Ok(ReadAhead::Partial(partial));
             }
         }
-        Ok(ReadAhead::Complete { bytes: read.freeze(), memory })
+        Ok(ReadAhead::Complete { bytes: received.freeze(), memory })
     }
 }
--- a/crates/proxy/src/frontend/cancellation.rs
+++ b/crates/proxy/src/frontend/cancellation.rs
@@ -1,4 +1,4 @@
-//! Notifies the driver of clients that disconnect before their request has its response.
+//! Notifies the driver when a client disconnects before its request has a response.
 
 use leadrelay_core::{Invariant, RequestId};
 
@@ -6,28 +6,31 @@
 use super::client::Client;
 use crate::inbox::Input;
 
-/// Cancels a request when dropped, unless it has its response. Hyper drops the request's future if it notices first
-/// that the client has disconnected.
+/// Cancels a request when dropped, unless the request has its response. The drop covers the case that hyper notices the
+/// disconnect first and drops the request's future.
 pub(super) struct CancelOnDrop<'a> {
     frontend: &'a Frontend,
     client: &'a Client,
     id: RequestId,
-    /// The client's id of the request, for the log.
-    request: String,
+    /// The request id that the client sent, for the log.
+    client_request_id: String,
+    /// Whether a drop cancels the request.
     armed: bool,
 }
 
 impl<'a> CancelOnDrop<'a> {
-    pub(super) fn new(frontend: &'a Frontend, client: &'a Client, id: RequestId, request: String) -> Self {
-        CancelOnDrop { frontend, client, id, request, armed: true }
+    pub(super) fn new(
+        frontend: &'a Frontend, client: &'a Client, id: RequestId, client_request_id: String,
+    ) -> Self {
+        CancelOnDrop { frontend, client, id, client_request_id, armed: true }
     }
 
-    /// The request has its response.
+    /// Records that the request has its response, so that dropping this cancels nothing.
     pub(super) fn disarm(mut self) {
         self.armed = false;
     }
 
-    /// The request is answered without the driver, which is to give it up.
+    /// Cancels the request in the driver, because the frontend itself responds to the client.
     pub(super) fn answer_without_driver(self) {
         self.frontend.inbox.put(Input::ClientDisconnected(self.id));
         self.disarm();
@@ -41,7 +44,7 @@
         }
         self.frontend.inbox.put(Input::ClientDisconnected(self.id));
         if !self.client.has_disconnected() {
-            self.frontend.metrics.violated(Invariant::AnsweredBeforeClose, &self.request);
+            self.frontend.metrics.violated(Invariant::AnsweredBeforeClose, &self.client_request_id);
         }
     }
 }
--- a/crates/proxy/src/frontend/client.rs
+++ b/crates/proxy/src/frontend/client.rs
@@ -1,4 +1,4 @@
-//! The state of one client's connection.
+//! The state of one client connection.
 
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
@@ -17,65 +17,69 @@
 use crate::close_reason::ClientClose;
 use crate::socket::has_ended;
 
-/// What a connection is doing. The order is the one in which connections are evicted.
+/// The stage of a connection. The variants are in the order in which connections are evicted.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Stage {
-    /// Rejected; what the client still sends is read and dropped.
+    /// The connection is closing; input that still arrives is read and discarded.
     Lingering,
     /// The client has sent nothing yet.
     New,
-    /// Between requests.
+    /// The connection is between two requests.
     Idle,
-    /// A part of a head has arrived.
+    /// A part of a request head has arrived.
     ReadingHead,
-    /// A request is in flight. Such connections are never evicted.
+    /// A request is in flight. A connection in this stage is never evicted.
     InFlight,
 }
 
-/// One client's connection.
+/// One client connection.
 pub(super) struct Client {
     pub(super) stream: Rc<TcpStream>,
     pub(super) stage: Cell<Stage>,
-    /// Its position among the connections of its stage, oldest first.
+    /// Sort key among the connections of the same stage: lower means that it entered the stage earlier.
     pub(super) stage_order: Cell<u64>,
+    /// When the connection entered its stage.
     pub(super) stage_since: Cell<Instant>,
-    /// When its next request has to be complete.
+    /// The time by which the next request has to be complete.
     pub(super) request_deadline: Cell<Instant>,
+    /// When the connection was accepted.
     pub(super) accepted_at: Instant,
     pub(super) address: IpAddr,
-    /// The earliest time at which it may have entered the accept queue.
+    /// The earliest time at which the connection may have entered the accept queue.
     pub(super) queued_since: Instant,
-    /// No request has been read on it yet.
+    /// Whether no request has been read on the connection yet.
     pub(super) awaits_first_request: Cell<bool>,
-    /// When bytes were last read from it.
+    /// When bytes were last read from the connection.
     pub(super) last_read: Cell<Instant>,
-    /// The client has closed its sending side.
+    /// Whether the client has closed its sending side.
     pub(super) read_closed: Cell<bool>,
-    /// Its next response closes the connection.
+    /// Whether the connection closes with the next response.
     pub(super) closes_with_response: Cell<bool>,
-    /// The connection has been closed between two requests.
+    /// Whether the proxy has begun to close the connection between two requests.
     pub(super) closed_while_idle: Cell<bool>,
-    /// When the first byte of the head being read was read; line breaks before a head are no part of it.
+    /// When the first byte of the current request head was read. Line breaks before a head don't count as part of it.
     pub(super) head_started_at: Cell<Instant>,
-    /// The raw bytes of the head being read, without what was read before its connection was idle.
+    /// The raw bytes of the current request head. Bytes that were read together with the previous request, before the
+    /// connection became idle, are missing.
     pub(super) raw_head: RefCell<Vec<u8>>,
-    /// The body of its latest request has been received to its end, if it has one.
+    /// Whether the body of the latest request has been received to its end; true if that request has no body.
     pub(super) body_ended: Rc<Cell<bool>>,
-    /// Notices that it takes nothing of a streamed response.
+    /// Detects that the client reads nothing of a streamed response.
     pub(super) write_watchdog: WriteWatchdog,
-    /// Asks the connection's task to close it.
+    /// Signals the connection's task to close the connection.
     close: Notify,
-    /// Why it is closed, once that is known.
+    /// Why the connection is closed, once that is known.
     close_reason: Cell<Option<ClientClose>>,
 }
 
-/// The client has disconnected before its request was answered.
+/// The error of a request whose client disconnected before the response.
 #[derive(Debug, thiserror::Error)]
 #[error("client disconnected")]
 pub(super) struct ClientDisconnected;
 
 impl Client {
-    /// The client of a connection accepted now, which has not been in the accept queue before `queued_since`.
+    /// Creates the state of a connection that has just been accepted and entered the accept queue no earlier than
+    /// `queued_since`.
     pub(super) fn new(stream: TcpStream, address: IpAddr, queued_since: Instant) -> Self {
         let now = Instant::now();
         Client {
@@ -101,47 +105,47 @@
         }
     }
 
-    /// Records that it enters a stage now.
+    /// Records that the connection enters a stage now.
     pub(super) fn enter_stage(&self, stage: Stage, order: u64) {
         self.stage_order.set(order);
         self.stage.set(stage);
         self.stage_since.set(Instant::now());
     }
 
-    /// Asks the connection's task to close it.
+    /// Signals the connection's task to close the connection for this reason.
     pub(super) fn request_close(&self, reason: ClientClose) {
         self.record_close_reason(reason);
         self.close.notify_one();
     }
 
-    /// Returns once the connection has been asked to close.
+    /// Waits for a request to close the connection.
     pub(super) async fn close_requested(&self) {
         self.close.notified().await;
     }
 
-    /// Records why the connection is closed, unless that is known.
+    /// Records why the connection is closed, unless a reason has been recorded before.
     pub(super) fn record_close_reason(&self, reason: ClientClose) {
         self.close_reason.set(self.close_reason.get().or(Some(reason)));
     }
 
-    /// Why the connection has been closed.
+    /// The recorded reason for closing the connection, or `ByClient` if there is none.
     pub(super) fn close_reason(&self) -> ClientClose {
         self.close_reason.get().unwrap_or(ClientClose::ByClient)
     }
 
-    /// Returns once the client has closed the connection or it has been reset.
+    /// Waits until the client has closed the connection or the connection has been reset.
     ///
-    /// Hyper notices that by reading, so not while pipelined bytes or an unread body precede the end; the system
-    /// reports it apart from them. Any interest reports the end, and `PRIORITY` reports nothing else that happens
-    /// here.
+    /// Hyper detects the end of a connection by reading, so pipelined bytes or an unread body in front of the end hide
+    /// it. The operating system reports the end as a readiness event even then. Tokio reports it for any interest;
+    /// `PRIORITY` is used because no other event of these sockets matches it.
     pub(super) async fn disconnected(&self) {
         while self.stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Whether the client has disconnected, by what the runtime knows or the socket itself says now. An end behind
-    /// unread bytes is known only once the runtime is notified.
+    /// Whether the client has disconnected, according to the runtime's readiness state or to a peek at the socket. The
+    /// peek detects an end that the runtime has not been notified of yet, unless unread bytes precede it.
     pub(super) fn has_disconnected(&self) -> bool {
         let disconnected = pin!(unconstrained(self.disconnected()));
         let runtime_knows = disconnected.poll(&mut Context::from_waker(Waker::noop())).is_ready();
--- a/crates/proxy/src/frontend/client_socket.rs
+++ b/crates/proxy/src/frontend/client_socket.rs
@@ -1,4 +1,4 @@
-//! The socket under a client's connection.
+//! The socket of a client connection, as hyper reads and writes it.
 
 use std::io;
 use std::pin::Pin;
@@ -12,14 +12,15 @@
 use super::{Frontend, MAX_HEAD_BYTES, REQUEST_TIMEOUT};
 use crate::socket::{half_close, poll_read, poll_write};
 
-/// A client's socket. It records when a head starts to arrive, its raw bytes, and when the client has closed its
-/// sending side.
+/// A client's socket. It records in the [`Client`] when a request head starts to arrive, the raw bytes of the head,
+/// when bytes were last read or written, and that the client has closed its sending side.
 pub(super) struct ClientSocket {
     pub(super) client: Rc<Client>,
     pub(super) frontend: Rc<Frontend>,
 }
 
 impl ClientSocket {
+    /// Updates the client's state after a read; no bytes mean that the client has closed its sending side.
     fn record_read(&self, bytes: &[u8]) {
         let client = &self.client;
         match bytes.is_empty() {
@@ -35,7 +36,7 @@
         }
     }
 
-    /// A head starts to arrive in this stage.
+    /// Begins a new request head, whose first bytes arrived in `stage`.
     fn start_head(&self, stage: Stage) {
         self.client.raw_head.borrow_mut().clear();
         if stage == Stage::Idle {
@@ -44,21 +45,22 @@
         self.frontend.set_stage(&self.client, Stage::ReadingHead);
     }
 
+    /// Appends bytes to the raw head. While the head consists of line breaks only, each read resets its start time.
     fn append_to_head(&self, bytes: &[u8]) {
         let mut raw_head = self.client.raw_head.borrow_mut();
         if raw_head.trim_ascii_start().is_empty() {
             self.client.head_started_at.set(Instant::now());
         }
-        let capacity = (MAX_HEAD_BYTES + 1).saturating_sub(raw_head.len()); // a longer one has no end here
+        let capacity = (MAX_HEAD_BYTES + 1).saturating_sub(raw_head.len()); // a longer head lacks its end here
         raw_head.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
     }
 }
 
 impl AsyncRead for ClientSocket {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         ready!(poll_read(&self.client.stream, cx, buf))?;
-        self.record_read(&buf.filled()[before..]);
+        self.record_read(&buf.filled()[filled_before..]);
         Poll::Ready(Ok(()))
     }
 }
--- a/crates/proxy/src/frontend/connection.rs
+++ b/crates/proxy/src/frontend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client, from its first byte to its end.
+//! Serves one client connection from its first byte to its end.
 
 use std::pin::Pin;
 use std::rc::Rc;
@@ -17,37 +17,37 @@
 use crate::close_reason::ClientClose;
 use crate::socket::{PeekResult, peek};
 
-/// A connection asked to close is cut after this time, unless a request is in flight.
+/// Time after which a connection that is shutting down is closed at once, unless a request is in flight.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a connection's task waits for.
+/// An event that a connection's task waits for.
 enum ConnectionEvent {
     /// Hyper has ended the connection.
     Ended(hyper::Result<()>),
-    /// The connection has been asked to close.
+    /// Another part of the frontend wants the connection to close.
     CloseRequested,
-    /// The client may take nothing of its streamed response.
+    /// The deadline of the write watchdog has passed. The watchdog may have been reset or stopped meanwhile.
     WriteTimedOut,
-    /// The connection was asked to close and has not.
+    /// The close timeout has passed and the connection is still open.
     CloseTimedOut,
 }
 
-/// What a connection's task does next.
+/// The next step of a connection's task.
 enum NextStep {
-    /// Go on serving.
+    /// Continue to serve the connection.
     Serve,
-    /// Close with the response to the current request, if there is one.
+    /// Shut the connection down after the response to the current request, or now if there is no request.
     ShutDownGracefully,
-    /// Go on shutting down: the current request has no response yet.
+    /// Restart the close timeout because the current request has no response yet.
     ExtendCloseTimeout,
-    /// Read what the client may still be sending, then close.
+    /// Discard input that the client may still be sending, then close.
     Linger,
-    /// Close at once.
+    /// Close without waiting for the client.
     Close,
 }
 
 impl Frontend {
-    /// Serves a connection until it has ended or has to.
+    /// Serves a connection until it has ended, then lingers if the client may still be sending.
     pub(super) async fn serve_connection(self: &Rc<Self>, client: &Rc<Client>) {
         let service = service_fn(|request| {
             let frontend = self.clone();
@@ -75,27 +75,29 @@
                 NextStep::Close => return,
             }
         }
-        // Hyper has answered malformed requests; a client that has closed its side needs nothing.
+        // Hyper has already responded to a malformed request, and the client has to be able to read that response. A
+        // client that has closed its sending side sends nothing that could reset the connection first.
         if !client.read_closed.get() {
             self.linger(client).await;
         }
     }
 }
 
-/// Runs a connection until something else has to be done about it.
+/// Drives a connection until the next event.
 async fn next_event(
     client: &Client, connection: Pin<&mut impl Future<Output = hyper::Result<()>>>,
     close_deadline: Option<Instant>,
 ) -> ConnectionEvent {
     tokio::select! {
-        biased; // what has arrived counts before a wish to close
+        biased; // handles input that has already arrived before a request to close
         result = connection => ConnectionEvent::Ended(result),
         () = client.close_requested() => ConnectionEvent::CloseRequested,
-        // A streamed response that nobody reads would hold its backend's connection for ever.
+        // Without this timeout, a streamed response that the client doesn't read would occupy a backend connection
+        // forever.
         () = sleep_until(client.write_watchdog.deadline()), if client.write_watchdog.is_streaming() => {
             ConnectionEvent::WriteTimedOut
         }
-        // A response that nobody reads would hold its socket for ever.
+        // Without this timeout, a response that the client doesn't read would occupy the client's socket forever.
         () = sleep_until(close_deadline.unwrap_or_else(Instant::now)), if close_deadline.is_some() => {
             ConnectionEvent::CloseTimedOut
         }
@@ -103,11 +105,11 @@
 }
 
 impl Client {
-    /// What an event leads to; records why the connection is closed.
+    /// Decides the next step after an event, and records why the connection is closed if it is.
     fn next_step(&self, event: ConnectionEvent) -> NextStep {
         match event {
             ConnectionEvent::Ended(result) => {
-                self.record_close_reason(self.reason_of_end(&result));
+                self.record_close_reason(self.end_reason(&result));
                 NextStep::Linger
             }
             ConnectionEvent::CloseRequested => self.begin_close(),
@@ -127,8 +129,8 @@
         }
     }
 
-    /// Why hyper has ended the connection.
-    fn reason_of_end(&self, result: &hyper::Result<()>) -> ClientClose {
+    /// Derives the close reason from the result with which hyper ended the connection.
+    fn end_reason(&self, result: &hyper::Result<()>) -> ClientClose {
         match result {
             Ok(()) if self.stage.get() != Stage::InFlight && self.read_closed.get() => ClientClose::ByClient,
             Ok(()) => ClientClose::WithResponse,
@@ -137,11 +139,11 @@
         }
     }
 
-    /// Begins to close the connection, as its stage allows.
+    /// Begins to close the connection in the way that suits its stage.
     fn begin_close(&self) -> NextStep {
         match self.stage.get() {
             Stage::New => NextStep::Close,
-            // Its last byte may have been written, and then a response is owed.
+            // The client may have written the whole request already, so it has to get a response.
             Stage::ReadingHead => {
                 let overdue = self.request_deadline.get() <= Instant::now();
                 reject_incomplete(&self.stream, overdue);
@@ -152,7 +154,8 @@
         }
     }
 
-    /// Begins to close the connection between two requests, unless the next one has arrived and has not been read.
+    /// Begins to close a connection between two requests. If unread bytes of the next request have already arrived,
+    /// that request is served first and the connection closes with its response.
     fn begin_idle_close(&self) -> NextStep {
         if peek(&self.stream) == PeekResult::Bytes {
             self.closes_with_response.set(true);
--- a/crates/proxy/src/frontend/connection_table.rs
+++ b/crates/proxy/src/frontend/connection_table.rs
@@ -1,4 +1,4 @@
-//! All connections of clients by stage and age, and which of them have to close.
+//! Table of all client connections by stage and age, from which connections are selected to be closed.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -10,34 +10,37 @@
 use super::client::{Client, Stage};
 use crate::close_reason::ClientClose;
 
-/// A connection between requests may be closed after this time, no sooner: clients may reuse it for 2 s.
+/// Minimum time for which an idle connection stays open: clients may reuse a connection for 2 s.
 pub(super) const MIN_IDLE_TIME: Duration = Duration::from_millis(2050);
-/// A connection is spared by an eviction until it has been in its stage for this long.
+/// Time that a connection must have been in its stage before it may be evicted.
 pub(super) const MIN_STAGE_AGE: Duration = Duration::from_millis(50);
 
-/// The stages in which a connection may be evicted, those to evict first in front.
+/// The stages in which a connection may be evicted, in the order of eviction.
 const EVICTION_ORDER: [Stage; 4] = [Stage::Lingering, Stage::New, Stage::Idle, Stage::ReadingHead];
 
-/// The connections of one stage, in the order in which they entered it.
+/// The connections of one stage by [`Client::stage_order`], so in the order in which they entered it.
 type StageConnections = BTreeMap<u64, Rc<Client>>;
 
-/// All connections of clients, by stage.
+/// All client connections by stage.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
+    /// Number of all open connections.
     open: Cell<usize>,
+    /// Number of connections in the stage [`Stage::InFlight`].
     in_flight: Cell<usize>,
-    /// Those that may be evicted, by stage.
+    /// The connections in the other stages, all of which may be evicted. `Stage as usize` is the index.
     evictable: RefCell<[StageConnections; EVICTION_ORDER.len()]>,
 }
 
-/// Which connections an eviction spares.
+/// Selects the connections that an eviction spares.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum EvictionAge {
-    /// Those that have entered their stage just now.
-    SpareYoung,
-    /// Idle ones and those that send a request, if they have entered their stage just now. New and lingering ones are
-    /// evicted at any age: those in the accept queue are at least as likely to send a request.
-    AnyWithoutRequest,
+pub(super) enum EvictionPolicy {
+    /// Spares every connection that has entered its stage recently.
+    SpareRecent,
+    /// Spares only idle connections, and connections that are sending a request, if they have entered their stage
+    /// recently. New and lingering connections are evicted at any age, because the connections in the accept queue are
+    /// at least as likely to send a request.
+    SpareRecentIdleOrReading,
 }
 
 impl ConnectionTable {
@@ -53,22 +56,22 @@
         self.open.set(self.open.get() - 1);
     }
 
-    /// Open connections.
+    /// The number of open connections.
     pub(super) fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// Those with a request in flight.
+    /// The number of connections with a request in flight.
     pub(super) fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Whether any connection has a request in flight, or a part of one has arrived.
+    /// Whether any connection has a request in flight or has received a part of a request head.
     pub(super) fn has_requests(&self) -> bool {
         self.in_flight.get() > 0 || !self.evictable.borrow()[Stage::ReadingHead as usize].is_empty()
     }
 
-    /// Moves a connection to another stage; `order` is greater than all before.
+    /// Moves a connection to another stage. `order` has to be greater than in all earlier calls.
     pub(super) fn set_stage(&self, client: &Rc<Client>, stage: Stage, order: u64) {
         let mut evictable = self.evictable.borrow_mut();
         match evictable.get_mut(client.stage.get() as usize) {
@@ -82,11 +85,13 @@
         }
     }
 
-    /// Asks the first connection in the order of eviction to close, if any is old enough; each is asked once.
-    pub(super) fn evict_one(&self, age: EvictionAge) -> bool {
+    /// Evicts one connection: requests the close of the oldest connection in the first evictable stage whose oldest
+    /// connection has the required age, and removes it from the table so that it is not selected twice. Returns whether
+    /// there was one.
+    pub(super) fn evict_one(&self, policy: EvictionPolicy) -> bool {
         let mut evictable = self.evictable.borrow_mut();
         for (connections, stage) in evictable.iter_mut().zip(EVICTION_ORDER) {
-            let min_age = min_age(stage, age);
+            let min_age = min_age(stage, policy);
             let Some(oldest) = connections.first_entry() else { continue };
             if oldest.get().stage_since.get().elapsed() >= min_age {
                 oldest.remove().request_close(ClientClose::Evicted);
@@ -96,14 +101,14 @@
         false
     }
 
-    /// Asks all connections of a stage to close.
+    /// Requests the close of all connections in a stage.
     pub(super) fn close_all(&self, stage: Stage, reason: ClientClose) {
         for client in self.evictable.borrow()[stage as usize].values() {
             client.request_close(reason);
         }
     }
 
-    /// Asks the connections to close whose request has not arrived in time.
+    /// Requests the close of all connections whose request has not arrived completely by its deadline.
     pub(super) fn close_overdue(&self, now: Instant) {
         let evictable = self.evictable.borrow();
         for stage in [Stage::New, Stage::ReadingHead] {
@@ -114,7 +119,7 @@
         }
     }
 
-    /// Asks the connections to close that have been idle for this long.
+    /// Requests the close of all connections that have been idle for at least `max_idle_time`.
     pub(super) fn close_idle(&self, now: Instant, max_idle_time: Duration, reason: ClientClose) {
         let evictable = self.evictable.borrow();
         let longest_idle_first = evictable[Stage::Idle as usize].values();
@@ -125,10 +130,10 @@
     }
 }
 
-/// How long a connection must have been in its stage before it may be evicted.
-fn min_age(stage: Stage, age: EvictionAge) -> Duration {
+/// The time that a connection must have been in a stage before it may be evicted.
+fn min_age(stage: Stage, policy: EvictionPolicy) -> Duration {
     match stage {
-        Stage::Lingering | Stage::New if age == EvictionAge::AnyWithoutRequest => Duration::ZERO,
+        Stage::Lingering | Stage::New if policy == EvictionPolicy::SpareRecentIdleOrReading => Duration::ZERO,
         Stage::Idle => MIN_IDLE_TIME,
         Stage::Lingering | Stage::New | Stage::ReadingHead | Stage::InFlight => MIN_STAGE_AGE,
     }
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -1,4 +1,4 @@
-//! Forwards one request to the driver and waits for its final answer.
+//! Submits one request to the driver and waits for the final answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 use super::Frontend;
-use super::admission::AcceptedHead;
+use super::admission::AdmittedRequest;
 use super::body::ReceivedBody;
 use super::cancellation::CancelOnDrop;
 use super::client::{Client, ClientDisconnected};
@@ -28,37 +28,38 @@
 use crate::upstream::{MessageBody, RequestBody, UpstreamRequest, remove_hop_by_hop_headers};
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// A body that was received within this time arrived with its head.
-const WITH_HEAD: Duration = Duration::from_millis(3);
-/// A request is written slowly that takes this long from its first byte to its last: longer than the process may be held
-/// up between reading the two.
-const SLOW_WRITE: Duration = Duration::from_millis(200);
+/// A body whose reception takes less time than this counts as having arrived together with its head.
+const BODY_WITH_HEAD_TIME: Duration = Duration::from_millis(3);
+/// Time from the first byte of a request to its last from which on the client counts as writing slowly. It is longer
+/// than the delay that this process itself may cause between reading the two.
+const SLOW_WRITE_TIME: Duration = Duration::from_millis(200);
 
-/// A request that can be submitted to the driver.
+/// A request that is ready to be submitted to the driver.
 struct ReadyRequest {
     id: RequestId,
     meta: RequestMeta,
     reserved_id: Option<ReservedRequestId>,
     message: UpstreamRequest,
-    /// When its first byte arrived.
+    /// When the request's first byte arrived.
     started_at: Instant,
-    /// When its last byte arrived, as far as its body has been received.
+    /// When the last byte arrived; for a streamed body, the last byte received so far.
     arrived_at: Instant,
-    /// Whether its body is still being received.
+    /// Whether the body is still being received.
     streamed: bool,
 }
 
 impl ReadyRequest {
-    /// What its client announced. A streamed body is still being written, for how long is not known.
+    /// The timeout that the client announced, and whether it may hold for other clients too. It does not if the request
+    /// is a retry, or if its body is streamed, because how long the client will take to write that body is unknown.
     fn announcement(&self) -> TimeoutAnnouncement {
         let write_time = self.arrived_at.saturating_duration_since(self.started_at);
-        let timeout = self.meta.timeout.as_secs_f64() * MILLIS_PER_SECOND;
+        let timeout_ms = self.meta.timeout.as_secs_f64() * MILLIS_PER_SECOND;
         if self.streamed || !self.meta.is_first_try {
             TimeoutAnnouncement::Individual
-        } else if write_time < SLOW_WRITE {
-            TimeoutAnnouncement::Typical(timeout)
+        } else if write_time < SLOW_WRITE_TIME {
+            TimeoutAnnouncement::Typical(timeout_ms)
         } else {
-            TimeoutAnnouncement::Doubtful(timeout)
+            TimeoutAnnouncement::Doubtful(timeout_ms)
         }
     }
 }
@@ -70,14 +71,15 @@
 }
 
 impl Frontend {
-    /// Forwards a request; returns the response, which may be a rejection.
+    /// Admits a request, receives its body and submits the request to the driver. Returns the response, which may be a
+    /// rejection.
     pub(super) async fn forward(
         self: &Rc<Self>, received: ReceivedHead, client: &Rc<Client>,
     ) -> Result<Response<MessageBody>, ClientDisconnected> {
         let started_at = received.started_at;
         let head_arrived_at = received.arrived_at;
-        let AcceptedHead { meta, reserved_id, head, body } = match self.admit(received) {
-            Ok(accepted) => accepted,
+        let AdmittedRequest { meta, reserved_id, head, body } = match self.admit(received) {
+            Ok(admitted) => admitted,
             Err(rejection) => return Ok(rejection_response(rejection)),
         };
         let id = RequestId(self.next_number());
@@ -91,18 +93,18 @@
         let message = upstream_request(head, body, &meta, client);
         let streamed = upload.is_some();
         let ready = ReadyRequest { id, meta, reserved_id, message, started_at, arrived_at, streamed };
-        self.respond_with_answer(ready, upload, client).await
+        self.submit_and_respond(ready, upload, client).await
     }
 
-    /// Submits a request and responds with its answer.
-    async fn respond_with_answer(
+    /// Submits a request, waits for the final answer and turns it into the response.
+    async fn submit_and_respond(
         self: &Rc<Self>, ready: ReadyRequest, upload: Option<impl Future<Output = Result<(), BodyError>>>,
         client: &Rc<Client>,
     ) -> Result<Response<MessageBody>, ClientDisconnected> {
         let id = ready.id;
-        let request = ready.meta.id.clone();
+        let client_request_id = ready.meta.id.clone();
         let SubmittedRequest { answer, ticket } = self.submit(ready, client)?;
-        let cancellation = CancelOnDrop::new(self, client, id, request);
+        let cancellation = CancelOnDrop::new(self, client, id, client_request_id);
         let answer = tokio::select! {
             biased;
             answer = answer_while_uploading(answer, upload) => answer,
@@ -121,7 +123,7 @@
         })
     }
 
-    /// Counts a request and submits it to the driver, unless its client has disconnected.
+    /// Counts a request, and submits it to the driver unless the client has disconnected.
     fn submit(&self, ready: ReadyRequest, client: &Client) -> Result<SubmittedRequest, ClientDisconnected> {
         let announcement = ready.announcement();
         let ReadyRequest { id, meta, reserved_id, message, arrived_at, streamed, .. } = ready;
@@ -150,12 +152,12 @@
         Ok(SubmittedRequest { answer, ticket })
     }
 
-    /// Counts a request whose last byte arrived then.
+    /// Counts a request whose last byte arrived at `arrived_at`.
     pub(super) fn count_request(&self, meta: &RequestMeta, arrived_at: Instant) -> RequestTicket {
         self.metrics.start_request(&meta.class.name, arrived_at)
     }
 
-    /// The record of a request that is sampled for an access event.
+    /// The record for the access event of a request, if the request is sampled.
     fn access_record(&self, meta: &RequestMeta, arrived_at: Instant) -> Option<Rc<AccessRecord>> {
         if !self.access_sampler.sample() {
             return None;
@@ -167,13 +169,13 @@
     }
 }
 
-/// When a request arrived whose body has been received now. Its time starts with its last byte; one that arrived with
-/// its head is as old as that.
+/// The arrival time of a request whose body has just been received, which is when its last byte arrived. If the body
+/// arrived together with the head, that is the arrival time of the head, which may have waited in the accept queue.
 fn arrival_time(head_arrived_at: Instant, receive_started_at: Instant) -> Instant {
-    if receive_started_at.elapsed() < WITH_HEAD { head_arrived_at } else { Instant::now() }
+    if receive_started_at.elapsed() < BODY_WITH_HEAD_TIME { head_arrived_at } else { Instant::now() }
 }
 
-/// The request in the form in which it is sent to backends.
+/// Builds the request that is sent to backends.
 fn upstream_request(
     head: request::Parts, body: RequestBody, meta: &RequestMeta, client: &Rc<Client>,
 ) -> UpstreamRequest {
@@ -193,11 +195,11 @@
     }
 }
 
-/// Waits for the final answer, while the rest of a streamed body is received.
+/// Waits for the final answer, and meanwhile receives the rest of a streamed body.
 async fn answer_while_uploading(
     answer: oneshot::Receiver<FinalResponse>, upload: Option<impl Future<Output = Result<(), BodyError>>>,
 ) -> Result<FinalResponse, BodyError> {
-    // The driver drops the sender only if it fails.
+    // The driver drops the sender without an answer only if the driver itself has failed.
     let answer = async { answer.await.unwrap_or(FinalResponse::Failed) };
     let Some(upload) = upload else { return Ok(answer.await) };
     tokio::pin!(answer, upload);
--- a/crates/proxy/src/frontend/forwarded_head.rs
+++ b/crates/proxy/src/frontend/forwarded_head.rs
@@ -1,4 +1,4 @@
-//! What changes in a head when it is forwarded.
+//! Changes to a request head before it is forwarded.
 
 use std::net::IpAddr;
 
@@ -9,12 +9,13 @@
 const X_FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 const X_FORWARDED_PROTO: HeaderName = HeaderName::from_static("x-forwarded-proto");
 
-/// Path and query alone, unchanged, also of a request in absolute form.
+/// Converts a request target to origin form: path and query, unchanged, without the scheme and authority of an absolute
+/// URI.
 pub(super) fn origin_form(uri: &Uri) -> Uri {
     uri.path_and_query().cloned().map_or_else(Uri::default, Uri::from)
 }
 
-/// Tells a backend whom a request comes from, and under which id.
+/// Adds the client's address, the protocol and, if the client sent none, the request id to the headers.
 pub(super) fn add_forwarding_headers(headers: &mut HeaderMap, id: &str, client: IpAddr) {
     if !headers.contains_key(X_REQUEST_ID)
         && let Ok(id) = HeaderValue::from_str(id)
@@ -27,7 +28,7 @@
     headers.insert(X_FORWARDED_PROTO, HeaderValue::from_static("http"));
 }
 
-/// The addresses that the request came by, its client's last.
+/// The value of `X-Forwarded-For`: the addresses that the client sent in this header, then the client's own address.
 fn forwarded_for(headers: &HeaderMap, client: IpAddr) -> String {
     let earlier = headers.get_all(X_FORWARDED_FOR).iter().filter_map(|value| value.to_str().ok());
     let mut addresses: Vec<String> = earlier.map(str::to_owned).collect();
--- a/crates/proxy/src/frontend/linger.rs
+++ b/crates/proxy/src/frontend/linger.rs
@@ -1,8 +1,9 @@
-//! The end of a connection whose client may still be sending.
+//! Lingering close of a connection whose client may still be sending.
 //!
-//! A close would reset the connection before the client has read its response, so what it sends is read and dropped
-//! for a while. A client that sends a request after the close of its idle connection has read the response before it:
-//! that request is not read, and the reset tells the client that it may send it again elsewhere.
+//! Closing a socket with unread input resets the connection, possibly before the client has read its response. Input is
+//! therefore read and discarded for a while. An idle connection is an exception: a client that sends a request after
+//! the proxy has closed its idle connection has already read the previous response. Its request is left unread, so that
+//! the reset tells the client that the request may be resent on another connection.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,20 +16,21 @@
 use super::{Frontend, MAX_HEAD_BYTES};
 use crate::socket::{half_close, is_transient};
 
-/// What a client still sends is read for this long,
+/// Longest time for which a closing connection waits for the client to close its side.
 const MAX_LINGER_TIME: Duration = Duration::from_millis(1500);
-/// and up to this many bytes.
+/// Maximum number of bytes that are read and discarded from a closing connection.
 const MAX_LINGER_BYTES: usize = 72 << 20;
-/// A reset would drop what the system has not sent yet of the last response, so it comes this long after the close.
+/// Minimum time between closing the sending side and a reset. A reset drops the part of the last response that the
+/// operating system has not sent yet.
 const MIN_RESET_DELAY: Duration = Duration::from_millis(50);
 
 impl Frontend {
-    /// Waits for the client to close its side, within bounds.
+    /// Waits until the client has closed its side, for a limited time.
     pub(super) async fn linger(&self, client: &Rc<Client>) {
         self.set_stage(client, Stage::Lingering);
         let end = async {
             match client.closed_while_idle.get() {
-                true => input_or_end(&client.stream).await,
+                true => wait_for_input_or_end(&client.stream).await,
                 false => discard_input(&client.stream).await,
             }
         };
@@ -39,30 +41,31 @@
     }
 }
 
-/// Rejects a request that is incomplete and is waited for no longer, as far as the client takes the response at once.
-/// The request has been sent to no backend.
+/// Rejects a request that has not arrived completely: with status 408 if its deadline has passed, otherwise with 503.
+/// The response is written without waiting, so a client whose socket buffer is full may not get it. The request has not
+/// been sent to any backend.
 pub(super) fn reject_incomplete(stream: &TcpStream, overdue: bool) {
     let status = if overdue { StatusCode::REQUEST_TIMEOUT } else { StatusCode::SERVICE_UNAVAILABLE };
     let response = format!("HTTP/1.1 {status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-    let _ = stream.try_write(response.as_bytes()); // a client that has disconnected needs none
+    let _ = stream.try_write(response.as_bytes()); // best effort: a disconnected client needs no response
 }
 
-/// Returns once the client has closed its side, or has sent anything more; reads nothing.
-async fn input_or_end(stream: &TcpStream) {
+/// Waits until the client has closed its side or has sent more input, which is left unread.
+async fn wait_for_input_or_end(stream: &TcpStream) {
     let reset_at = Instant::now() + MIN_RESET_DELAY;
-    let is_input = loop {
+    let has_input = loop {
         match stream.peek(&mut [0]).await {
             Ok(length) => break length > 0,
             Err(error) if is_transient(&error) => {}
             Err(_) => break false,
         }
     };
-    if is_input {
+    if has_input {
         sleep_until(reset_at).await;
     }
 }
 
-/// Closes the sending side and reads on until the client closes its own, or has sent too much.
+/// Closes the sending side, then discards input until the client closes its side or the byte limit is reached.
 async fn discard_input(stream: &TcpStream) {
     if half_close(stream).is_err() {
         return;
--- a/crates/proxy/src/frontend/listener.rs
+++ b/crates/proxy/src/frontend/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections within the limit on sockets.
+//! Accepts connections and keeps their number within the limit on sockets.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -11,88 +11,97 @@
 
 use super::Frontend;
 use super::client::{Client, Stage};
-use super::connection_table::EvictionAge;
+use super::connection_table::EvictionPolicy;
 
-/// Length of the accept queue.
+/// Maximum length of the accept queue, in connections.
 const BACKLOG: u32 = 1024;
-/// If no connection can be evicted, new ones wait in the accept queue for this long, then they are rejected.
+/// Time for which new connections wait in the accept queue while no connection can be evicted. After that, connections
+/// without any request are evicted at any age, and if there are none, new connections are rejected.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(100);
-/// Wait after a failed accept, so that the loop does not spin, and for an evicted connection to close.
+/// Delay after a failed accept, which keeps the accept loop from spinning, and longest wait for an evicted connection
+/// to close.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// From this part of the limit on, as a fraction, one connection is evicted for each that is accepted.
+/// Numerator of the fraction of the limit from which on one connection is evicted for each accepted connection.
 const EVICTION_NUMERATOR: usize = 7;
+/// Denominator of that fraction.
 const EVICTION_DENOMINATOR: usize = 8;
 
-/// Listens on the address for clients.
+/// Binds a socket to the address and listens for clients.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    socket.set_reuseaddr(true)?; // a restart finds old connections in TIME_WAIT
+    socket.set_reuseaddr(true)?; // otherwise connections in TIME_WAIT would block a restart
     socket.bind(address)?;
     socket.listen(BACKLOG)
 }
 
 impl Frontend {
-    /// Accepts one connection and serves it in a task of its own. At the limit it evicts or rejects one instead.
+    /// Accepts one connection and serves it in a separate task. At the limit on connections, evicts or rejects one
+    /// instead.
     pub(super) async fn accept(self: Rc<Self>, listener: &TcpListener) {
-        let limit = self.limits.max_clients(self.upstreams.sockets_in_use());
+        let limit = self.limits.max_client_sockets(self.upstreams.sockets_in_use());
         if self.connections.open() >= limit {
             return self.accept_at_limit(listener).await;
         }
         match self.next_connection(listener).await {
             Ok((stream, address)) => {
                 if self.connections.open() >= limit * EVICTION_NUMERATOR / EVICTION_DENOMINATOR {
-                    self.connections.evict_one(EvictionAge::SpareYoung);
+                    self.connections.evict_one(EvictionPolicy::SpareRecent);
                 }
-                self.spawn(stream, address);
+                self.spawn_connection(stream, address);
             }
             Err(error) => self.recover_from_failed_accept(&error).await,
         }
     }
 
-    /// After a local error, such as a lack of descriptors, closes a connection on each side and waits a moment.
+    /// Handles a failed accept. After a local error, such as a lack of file descriptors, closes one idle backend
+    /// connection and evicts one client connection, then waits for a moment.
     async fn recover_from_failed_accept(&self, error: &io::Error) {
-        // The client has given up, or nothing was accepted: this machine lacks nothing.
+        // The client has closed the connection or a signal interrupted the call: no local resource is short.
         if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) {
             return;
         }
         warn!(%error, "accept failed");
         self.upstreams.evict_longest_idle();
-        self.connections.evict_one(EvictionAge::SpareYoung);
+        self.connections.evict_one(EvictionPolicy::SpareRecent);
         sleep(ACCEPT_RETRY_DELAY).await;
     }
 
-    /// At the limit one connection is evicted for each new one. If none can be, the next new one waits a little. Left
-    /// to wait for longer, all in the accept queue would age until their responses are too late; so they are rejected.
+    /// Makes room for a new connection at the limit by evicting one. If none can be evicted, new connections first wait
+    /// in the accept queue, and after [`MAX_QUEUE_TIME`] they are rejected: if they waited for longer, every connection
+    /// in the queue would become so old that its response would be too late.
     async fn accept_at_limit(&self, listener: &TcpListener) {
-        let queue_is_old = self.queue_empty_at.get().elapsed() >= MAX_QUEUE_TIME;
-        let age = if queue_is_old { EvictionAge::AnyWithoutRequest } else { EvictionAge::SpareYoung };
-        if self.connections.evict_one(age) || !queue_is_old {
-            let _ = timeout(ACCEPT_RETRY_DELAY, self.changed.notified()).await;
+        let queue_is_old = self.accept_queue_empty_at.get().elapsed() >= MAX_QUEUE_TIME;
+        let policy =
+            if queue_is_old { EvictionPolicy::SpareRecentIdleOrReading } else { EvictionPolicy::SpareRecent };
+        if self.connections.evict_one(policy) || !queue_is_old {
+            let _ = timeout(ACCEPT_RETRY_DELAY, self.connections_changed.notified()).await;
             return;
         }
         match timeout(Duration::ZERO, listener.accept()).await {
             Ok(Ok(rejected)) => drop(rejected),
             Ok(Err(_)) => sleep(ACCEPT_RETRY_DELAY).await,
-            Err(_) => self.queue_empty_at.set(Instant::now()),
+            Err(_) => self.accept_queue_empty_at.set(Instant::now()),
         }
     }
 
-    /// The next connection of the accept queue. If there was none at once, the queue was empty until this one came.
+    /// Accepts the next connection. If none is available at once, the accept queue was empty until this one arrived,
+    /// and that time is recorded.
     async fn next_connection(&self, listener: &TcpListener) -> io::Result<(TcpStream, SocketAddr)> {
         tokio::select! {
             biased;
             next = listener.accept() => next,
             () = std::future::ready(()) => {
                 let next = listener.accept().await;
-                self.queue_empty_at.set(Instant::now());
+                self.accept_queue_empty_at.set(Instant::now());
                 next
             }
         }
     }
 
-    fn spawn(self: Rc<Self>, stream: TcpStream, address: SocketAddr) {
-        let _ = stream.set_nodelay(true); // slower without, no worse
-        let client = Rc::new(Client::new(stream, address.ip(), self.queue_empty_at.get()));
+    /// Adds a connection to the table and serves it in a new task.
+    fn spawn_connection(self: Rc<Self>, stream: TcpStream, address: SocketAddr) {
+        let _ = stream.set_nodelay(true); // on failure, small responses are only slower
+        let client = Rc::new(Client::new(stream, address.ip(), self.accept_queue_empty_at.get()));
         self.connections.add();
         self.set_stage(&client, Stage::New);
         tokio::task::spawn_local(async move {
@@ -100,7 +109,7 @@
             self.record_closed(&client);
             self.set_stage(&client, Stage::InFlight);
             self.connections.remove();
-            self.changed.notify_waiters();
+            self.connections_changed.notify_waiters();
         });
     }
 
--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -1,22 +1,24 @@
-//! Clients: accepts connections, reads and checks requests, and gives each exactly one final response.
+//! The client side of the proxy: accepts connections, reads and checks requests, and sends exactly one final response
+//! to each.
 //!
-//! The way of one request, from the accept to the final response:
+//! Modules in the order in which a request passes through them:
 //!
-//! 1. `listener` accepts the connection within the `socket_limits` and adds it to the `connection_table`, by which
-//!    connections are evicted when sockets run short, and closed after their time-outs.
-//! 2. `connection` serves it: hyper reads and writes its `client_socket`, whose state is the `client`. The
-//!    `write_watchdog` notices a client that takes nothing of its response.
-//! 3. `service` is called for each request once its head is `received`. It rejects the request if too many are in
-//!    flight.
-//! 4. `admission` checks the head, a chunked request's by its `raw_head` too, and `body` receives the body, completely
-//!    or up to what is buffered.
-//! 5. `forward` submits the request to the driver, waits for the final answer while the rest of a streamed body is
-//!    received, and notifies the driver if the client disconnects first (`cancellation`).
-//! 6. `response` turns the answer into the client's response. The request ends with it, or with the last byte of a
-//!    streamed response.
+//! 1. `listener` accepts the connection within the `socket_limits` and adds it to the `connection_table`. The table
+//!    selects the connections to evict when sockets run short and to close when their timeouts have passed.
+//! 2. `connection` serves the connection: hyper reads and writes its `client_socket`, and `client` holds its state. The
+//!    `write_watchdog` detects a client that reads nothing of its streamed response.
+//! 3. `service` is called for each request whose head has been read, and `received` determines when the head arrived.
+//!    The service rejects the request if too many requests are in flight.
+//! 4. `admission` checks the head, and for a chunked request the `raw_head` too. `body` receives the body, either
+//!    completely or up to the limit for buffered bodies.
+//! 5. `forward` submits the request to the driver, with its head changed by `forwarded_head`, and waits for the final
+//!    answer while the rest of a streamed body is received. `cancellation` notifies the driver if the client
+//!    disconnects first.
+//! 6. `response` turns the answer into the client's response. The request ends at that point, or with the last byte of
+//!    a streamed response.
 //!
-//! A connection that is closed while its client may still be sending goes through `linger`. `shutdown` ends the process
-//! without losing a request.
+//! `linger` closes a connection whose client may still be sending. `shutdown` finishes the accepted requests before the
+//! process ends.
 
 mod admission;
 mod body;
@@ -59,36 +61,37 @@
 use client::{Client, Stage};
 use connection_table::{ConnectionTable, MIN_IDLE_TIME};
 
-/// Longest head. Large enough for any client of the protocol, small enough for all connections at once.
+/// Maximum length of a request head, in bytes. It is large enough for any client of the protocol, and small enough that
+/// all connections can buffer a head at the same time.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// A request must be complete this long after its first byte, the first one this long after its connection was
-/// accepted: a client that sends no complete request must get an error or a close within 3 s. A body that is sent fast
-/// enough may take longer.
+/// Time within which a request has to arrive completely: from its first byte on, or from the accept of the connection
+/// for the connection's first request. A client that sends no complete request has to get an error response or a close
+/// within 3 s. A body that is sent fast enough may take longer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2400);
-/// An idle connection is closed after this time: some clients send one request and keep their connection for good.
+/// Time after which an idle connection is closed. Some clients send one request and never close their connection.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(15);
-/// Interval between searches for connections whose time-out has passed.
+/// Interval between checks for connections whose timeout has passed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a frontend shares with other parts of the proxy.
+/// The components from which a [`Frontend`] is built, most of which it shares with other parts of the proxy.
 pub struct FrontendParts {
-    /// Where requests are submitted.
+    /// The inbox of the driver, to which requests are submitted.
     pub inbox: Inbox,
-    /// The classes of requests.
+    /// The configured request classes.
     pub classes: Rc<RefCell<Classes>>,
-    /// For the sockets and the memory that both sides share.
+    /// The upstream pool, for the socket count and the memory budgets that the client side and the upstream side share.
     pub upstreams: Rc<UpstreamPool>,
-    /// The limit on sockets.
+    /// The limits on sockets.
     pub limits: SocketLimits,
-    /// Where requests and connections are counted.
+    /// The metrics that count requests and connections.
     pub metrics: Arc<Metrics>,
-    /// Whether the operators have taken the proxy out of service.
+    /// Whether an operator has taken the proxy out of service.
     pub drained: Rc<Cell<bool>>,
-    /// The fraction of requests that leave an access event.
+    /// The fraction of requests for which an access event is logged.
     pub access_rate: Rc<Cell<f64>>,
 }
 
-/// What all connections of clients share.
+/// The client side of the proxy: the state that all client connections share.
 pub struct Frontend {
     inbox: Inbox,
     classes: Rc<RefCell<Classes>>,
@@ -97,20 +100,20 @@
     metrics: Arc<Metrics>,
     access_sampler: AccessSampler,
     next_number: Cell<u64>,
-    /// The operators have taken the proxy out of service.
+    /// Whether an operator has taken the proxy out of service.
     drained: Rc<Cell<bool>>,
-    /// The process ends.
-    stopping: Cell<bool>,
+    /// Whether the process is shutting down.
+    is_shutting_down: Cell<bool>,
     connections: ConnectionTable,
     /// When the accept queue was last seen empty.
-    queue_empty_at: Cell<Instant>,
+    accept_queue_empty_at: Cell<Instant>,
     open_ids: OpenRequestIds,
-    /// Notified when a connection has closed, and while the process ends when one changes its stage.
-    changed: Notify,
+    /// Notified when a connection has closed and, during shutdown, when a connection changes its stage.
+    connections_changed: Notify,
 }
 
 impl Frontend {
-    /// A frontend without connections.
+    /// Creates a frontend without connections.
     pub fn new(parts: FrontendParts) -> Rc<Self> {
         Rc::new(Frontend {
             inbox: parts.inbox,
@@ -121,15 +124,15 @@
             access_sampler: AccessSampler::new(parts.access_rate),
             next_number: Cell::new(0),
             drained: parts.drained,
-            stopping: Cell::new(false),
+            is_shutting_down: Cell::new(false),
             connections: ConnectionTable::default(),
-            queue_empty_at: Cell::new(Instant::now()),
+            accept_queue_empty_at: Cell::new(Instant::now()),
             open_ids: OpenRequestIds::default(),
-            changed: Notify::new(),
+            connections_changed: Notify::new(),
         })
     }
 
-    /// Accepts and serves connections until `stop`, then finishes the requests that have been accepted.
+    /// Accepts and serves connections until `stop` completes, then finishes the accepted requests.
     pub async fn serve(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         tokio::task::spawn_local(self.clone().close_expired_periodically());
         tokio::pin!(stop);
@@ -150,32 +153,33 @@
         }
     }
 
-    /// Asks the connections whose time-out has passed to close.
+    /// Updates the connection metrics and requests the close of all connections whose timeout has passed.
     fn close_expired(&self) {
         self.metrics.connected(self.connections.open(), self.upstreams.sockets_in_use());
         let now = Instant::now();
         self.connections.close_overdue(now);
-        if self.draining() {
+        if self.is_draining() {
             self.connections.close_idle(now, MIN_IDLE_TIME, ClientClose::Drained);
         } else {
             self.connections.close_idle(now, MAX_IDLE_TIME, ClientClose::Idle);
         }
     }
 
-    /// Moves a connection to another stage.
+    /// Moves a connection to another stage, and notifies a shutdown in progress.
     fn set_stage(&self, client: &Rc<Client>, stage: Stage) {
         self.connections.set_stage(client, stage, self.next_number());
-        if self.stopping.get() {
-            self.changed.notify_waiters();
+        if self.is_shutting_down.get() {
+            self.connections_changed.notify_waiters();
         }
     }
 
-    /// Whether responses ask clients to close their connections.
-    fn draining(&self) -> bool {
-        self.drained.get() || self.stopping.get()
+    /// Whether responses carry `Connection: close`, because an operator drains the proxy or the process is shutting
+    /// down.
+    fn is_draining(&self) -> bool {
+        self.drained.get() || self.is_shutting_down.get()
     }
 
-    /// A number that no other request or stage of this process has.
+    /// Returns a number that is greater than all before. It identifies a request, or orders a change of stage.
     fn next_number(&self) -> u64 {
         self.next_number.replace(self.next_number.get() + 1)
     }
--- a/crates/proxy/src/frontend/raw_head.rs
+++ b/crates/proxy/src/frontend/raw_head.rs
@@ -1,17 +1,21 @@
-//! Finds out from a head's raw bytes whether it gives one length only. Hyper shows only one of two.
+//! Checks from the raw bytes of a request head that a chunked request has no Content-Length. The parsed headers can't
+//! show this: if a request has both Transfer-Encoding and Content-Length, hyper's parsed headers contain only one of
+//! the two.
 
 use hyper::header::HeaderMap;
 
-/// The header whose absence in the raw head of a chunked request proves that its length is given once.
+/// Name of the header that must be absent from the raw head of a chunked request.
 const CONTENT_LENGTH: &[u8] = b"content-length";
-/// How the first line of a chunked request ends: earlier versions have no chunks.
+/// End of the request line of a chunked request: earlier HTTP versions have no chunked encoding.
 const REQUEST_LINE_END: &[u8] = b" HTTP/1.1";
 
-/// Whether a chunked request's raw head proves that it has no content length besides, by the headers that hyper shows.
+/// Whether the raw head of a chunked request proves that the request has no Content-Length. `headers` are the headers
+/// that hyper parsed from the same head.
 ///
-/// That proves something only if the bytes are the whole head. If its start is missing because it was read with the
-/// request before, either the first line is none, or hyper shows headers that are not in it. If its end is missing,
-/// no empty line ends it.
+/// The raw bytes prove this only if they are the whole head:
+/// - If the start of the head is missing because it was read together with the previous request, then either the first
+///   line is not a request line, or hyper has parsed more headers than the raw bytes contain.
+/// - If the end of the head is missing, so is the empty line that ends it.
 pub(super) fn has_no_content_length(raw_head: &[u8], headers: &HeaderMap) -> bool {
     let mut lines = complete_lines(raw_head);
     if !lines.next().is_some_and(|line| line.ends_with(REQUEST_LINE_END)) {
@@ -28,7 +32,7 @@
     false
 }
 
-/// The lines of a head that have their end, without it; hyper skips empty ones in front.
+/// The complete lines of a head, without their line breaks. Empty lines before the head are skipped, as hyper does.
 fn complete_lines(raw_head: &[u8]) -> impl Iterator<Item = &[u8]> {
     raw_head
         .trim_ascii_start()
--- a/crates/proxy/src/frontend/received.rs
+++ b/crates/proxy/src/frontend/received.rs
@@ -1,4 +1,4 @@
-//! A request of which hyper has read the head, and when that arrived.
+//! A request whose head hyper has read, and when the head arrived.
 
 use hyper::Request;
 use hyper::body::{Body as _, Incoming};
@@ -8,38 +8,43 @@
 use super::client::{Client, Stage};
 use super::connection_table::MIN_STAGE_AGE;
 
-/// A request of which the head has been read.
+/// A request whose head has been read.
 pub(super) struct ReceivedHead {
     pub(super) request: Request<Incoming>,
-    /// When its first byte was read.
+    /// When the first byte of the head was read.
     pub(super) started_at: Instant,
+    /// When the head was read completely, or the earliest time at which its connection may have entered the accept
+    /// queue, if the head may have arrived there.
     pub(super) arrived_at: Instant,
-    /// The head's raw bytes, if they could be told apart from the previous request's. Their start is missing if it was
-    /// read with that one, their end if the head is long.
+    /// The raw bytes of the head, if they were read separately from the previous request. Their start is missing if it
+    /// was read together with the previous request, and their end is missing if the head is too long.
     pub(super) raw_head: Option<Vec<u8>>,
 }
 
 impl ReceivedHead {
-    /// A request that hyper has just handed over, before the connection's stage changes.
+    /// Creates the record of a request that hyper has just passed to the service. Has to be called before the
+    /// connection's stage changes.
     pub(super) fn new(request: Request<Incoming>, client: &Client) -> Self {
-        // A pipelined head arrived with the previous request, so its raw bytes have not been seen apart.
+        // A pipelined head arrived together with the previous request, so its raw bytes were not recorded separately.
         let pipelined = client.stage.get() == Stage::Idle;
         if pipelined {
             client.request_deadline.set(Instant::now() + REQUEST_TIMEOUT);
         }
-        // Nor if that one was answered before the end of its body: hyper read the rest since.
+        // Neither were they if the previous request got its response before the end of its body: hyper has read the
+        // rest of that body since then, so the recorded bytes may begin with it.
         let previous_body_ended = client.body_ended.replace(request.body().is_end_stream());
-        let seen_apart = previous_body_ended && !pipelined;
-        let raw_head = seen_apart.then(|| client.raw_head.take());
+        let has_separate_bytes = previous_body_ended && !pipelined;
+        let raw_head = has_separate_bytes.then(|| client.raw_head.take());
         let arrived_at = arrival_time(client, pipelined);
-        let is_timed = client.stage.get() == Stage::ReadingHead;
-        let started_at = if is_timed { client.head_started_at.get() } else { arrived_at };
+        let has_recorded_start = client.stage.get() == Stage::ReadingHead;
+        let started_at = if has_recorded_start { client.head_started_at.get() } else { arrived_at };
         ReceivedHead { request, started_at, arrived_at, raw_head }
     }
 }
 
-/// When a head arrived that has been read now. What arrived while its connection was in the accept queue is as old as
-/// that.
+/// The arrival time of a head that has just been read. The head may have arrived while the connection was still in the
+/// accept queue, if it was read within [`MIN_STAGE_AGE`] of the accept. Its arrival time is then the earliest time at
+/// which the connection may have entered the queue.
 fn arrival_time(client: &Client, pipelined: bool) -> Instant {
     let read_at = if pipelined { client.last_read.get() } else { Instant::now() };
     let may_have_been_queued = client.awaits_first_request.replace(false) || pipelined;
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get.
+//! Builds the responses to clients.
 
 use std::rc::Rc;
 
@@ -19,14 +19,14 @@
 use crate::upstream::{MessageBody, UpstreamResponse};
 
 impl Frontend {
-    /// The response that carries a request's final answer, and the end of the request: at once, or with the last byte
-    /// of a streamed response.
+    /// Turns the final answer into the response, and ends the request in the metrics: at once, or with the last byte of
+    /// a streamed response.
     pub(super) fn final_response(
         self: &Rc<Self>, answer: FinalResponse, ticket: RequestTicket, client: &Rc<Client>,
     ) -> Response<MessageBody> {
         match answer {
-            FinalResponse::Served(response) => self.served(response, ticket, client),
-            // No other backend could take over: the client sees what this one said.
+            FinalResponse::Served(response) => self.served_response(response, ticket, client),
+            // No other backend could take over the request, so the client gets this backend's error response.
             FinalResponse::UpstreamError(response) => {
                 ticket.end(Cause::BackendError);
                 client_response(response)
@@ -37,7 +37,7 @@
                 } else {
                     Cause::RejectedBeforeAttempt
                 });
-                self.unavailable(retry_after)
+                self.unavailable_response(retry_after)
             }
             FinalResponse::Failed => {
                 ticket.end(Cause::Failed);
@@ -46,7 +46,7 @@
         }
     }
 
-    fn served(
+    fn served_response(
         self: &Rc<Self>, mut response: UpstreamResponse, ticket: RequestTicket, client: &Rc<Client>,
     ) -> Response<MessageBody> {
         response.body = match response.body {
@@ -54,13 +54,13 @@
                 ticket.end(Cause::Served);
                 Either::Left(body)
             }
-            Either::Right(stream) => Either::Right(self.clone().follow_stream(stream, ticket, client)),
+            Either::Right(stream) => Either::Right(self.clone().watch_stream(stream, ticket, client)),
         };
         client_response(response)
     }
 
-    /// Follows a streamed response to its client; the request ends with it.
-    fn follow_stream(
+    /// Starts the write watchdog for a streamed response, and ends the request with the end of the stream.
+    fn watch_stream(
         self: Rc<Self>, mut stream: BodyStream, ticket: RequestTicket, client: &Rc<Client>,
     ) -> BodyStream {
         client.write_watchdog.start();
@@ -75,8 +75,9 @@
         stream
     }
 
-    /// The response to a request that was not processed; a retry is harmless, best after that time.
-    fn unavailable(&self, retry_after: Option<Millis>) -> Response<MessageBody> {
+    /// The response to a request that was not processed, so that a retry is harmless. `retry_after` is when the client
+    /// should retry.
+    fn unavailable_response(&self, retry_after: Option<Millis>) -> Response<MessageBody> {
         let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "try again");
         if let Some(value) = retry_after.and_then(|retry_after| self.retry_after_header(retry_after)) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
@@ -84,7 +85,7 @@
         response
     }
 
-    /// Only the operators' protocol knows fractions of a second.
+    /// The value of `Retry-After`. Only the platform dialect allows fractions of a second.
     fn retry_after_header(&self, retry_after: Millis) -> Option<HeaderValue> {
         let seconds = retry_after / 1000.0;
         let text = match self.classes.borrow().dialect {
@@ -95,12 +96,12 @@
     }
 }
 
-/// The response to a request that is rejected before it is submitted.
+/// The response to a request that is rejected before it is submitted to the driver.
 pub(super) fn rejection_response(rejection: Rejection) -> Response<MessageBody> {
     text_response(rejection.status(), rejection.to_string())
 }
 
-/// A backend's response as its client gets it.
+/// Converts a backend's response to the response to the client.
 fn client_response(upstream: UpstreamResponse) -> Response<MessageBody> {
     let mut response = Response::new(upstream.body);
     *response.status_mut() = upstream.status;
@@ -108,7 +109,7 @@
     response
 }
 
-/// A response of this proxy's own.
+/// A response that the proxy generates itself, with `text` as its body.
 pub(super) fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<MessageBody> {
     let mut response = Response::new(Either::Left(Full::new(text.into())));
     *response.status_mut() = status;
--- a/crates/proxy/src/frontend/service.rs
+++ b/crates/proxy/src/frontend/service.rs
@@ -1,4 +1,4 @@
-//! The service that hyper calls for each request of a connection.
+//! The service function that hyper calls for each request of a connection.
 
 use std::rc::Rc;
 use std::sync::atomic::Ordering::Relaxed;
@@ -15,11 +15,11 @@
 use crate::config::Dialect;
 use crate::upstream::MessageBody;
 
-/// The path of the platform's readiness check.
+/// The path of the readiness check in the platform dialect.
 const PLATFORM_READINESS_PATH: &str = "/up";
 
 impl Frontend {
-    /// Handles one request of which hyper has read the head.
+    /// Handles one request whose head hyper has read.
     pub(super) async fn handle(
         self: &Rc<Self>, request: Request<Incoming>, client: &Rc<Client>,
     ) -> Result<Response<MessageBody>, ClientDisconnected> {
@@ -31,9 +31,9 @@
         } else {
             self.respond(received, client).await.inspect_err(|_| client.read_closed.set(true))?
         };
-        let closes = self.draining() || client.closes_with_response.get();
-        // After a malformed request nobody knows where the next one would start.
-        if overloaded || closes || response.status().is_client_error() {
+        let must_close = self.is_draining() || client.closes_with_response.get();
+        // After a client error such as a malformed request, the start of the next request can't be determined.
+        if overloaded || must_close || response.status().is_client_error() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         } else if !client.write_watchdog.is_streaming() {
             self.set_stage(client, Stage::Idle);
@@ -41,7 +41,8 @@
         Ok(response)
     }
 
-    /// Rejects a request because too many are in flight. It is counted if its head is valid.
+    /// Rejects a request because too many requests are in flight. It is counted in the metrics only if its head is
+    /// valid.
     fn reject_overloaded(&self, received: &ReceivedHead) -> Response<MessageBody> {
         if let Ok(meta) = self.read_head(&received.request) {
             self.count_request(&meta, received.arrived_at).end(Cause::RejectedOverloaded);
@@ -49,17 +50,17 @@
         text_response(StatusCode::SERVICE_UNAVAILABLE, "too many connections")
     }
 
-    /// Responds to a request: to a readiness check here, to any other by way of the backends.
+    /// Responds to a readiness check directly, and forwards any other request to the backends.
     async fn respond(
         self: &Rc<Self>, received: ReceivedHead, client: &Rc<Client>,
     ) -> Result<Response<MessageBody>, ClientDisconnected> {
         if self.is_readiness_check(received.request.uri().path()) {
-            return Ok(self.readiness());
+            return Ok(self.readiness_response());
         }
         self.forward(received, client).await
     }
 
-    /// Whether a path asks if clients may be sent here.
+    /// Whether a path is that of the readiness check, by which load balancers decide whether to send clients here.
     fn is_readiness_check(&self, path: &str) -> bool {
         match &self.classes.borrow().dialect {
             Dialect::Platform => path == PLATFORM_READINESS_PATH,
@@ -67,8 +68,9 @@
         }
     }
 
-    fn readiness(&self) -> Response<MessageBody> {
-        let ready = self.metrics.ready.load(Relaxed) && !self.draining();
+    /// The response to a readiness check: 200 if the proxy is ready and not draining, otherwise 503.
+    fn readiness_response(&self) -> Response<MessageBody> {
+        let ready = self.metrics.ready.load(Relaxed) && !self.is_draining();
         let status = if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
         text_response(status, "")
     }
--- a/crates/proxy/src/frontend/shutdown.rs
+++ b/crates/proxy/src/frontend/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: which connections are still accepted, and which requests are waited for.
+//! Graceful shutdown: accepts the last connections or leaves them to a successor, and finishes the accepted requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,54 +12,58 @@
 use crate::close_reason::ClientClose;
 use crate::inbox::Input;
 
-/// After SIGTERM connections still arrive for up to 0.4 s.
+/// Time after SIGTERM for which connections are accepted regardless of the accept queue. New connections still arrive
+/// for up to 0.4 s. Also the longest time for which the accept queue is emptied after that.
 const ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// Then the accept queue counts as empty once nothing arrives for this time.
+/// Time without a new connection after which the accept queue counts as empty.
 const EMPTY_QUEUE_TIME: Duration = Duration::from_millis(20);
-/// A connection that has sent nothing is waited for this much longer.
+/// Further time for which connections that have sent nothing stay open after the last accept.
 const FIRST_BYTE_TIME: Duration = Duration::from_millis(200);
-/// With a successor, connections are used for this long after SIGTERM before idle ones are closed.
+/// Time after SIGTERM at which idle connections are closed if there is a successor. Until then they close with their
+/// next response.
 const HANDOVER_TIME: Duration = Duration::from_millis(450);
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, of which no more than this counts,
+/// Maximum of the longest deadline that counts for the time from SIGTERM to SIGKILL. SIGKILL comes no sooner after
+/// SIGTERM than the longest deadline, limited to this value, plus [`KILL_DELAY_AFTER_DEADLINE`].
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// and this time.
-const KILL_TIME: Duration = Duration::from_millis(700);
-/// All requests have their response this long before SIGKILL.
+/// Time that is added to the longest deadline: SIGKILL comes no sooner after SIGTERM than both together.
+const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
+/// Time before the earliest SIGKILL at which all requests must have their response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
-/// What writing the last responses may take.
+/// Time allowed for writing the last responses.
 const WRITE_TIME: Duration = Duration::from_millis(100);
-/// Bound on a configured deadline, in milliseconds, for the conversion to a `Duration`.
+/// Upper bound on a configured deadline, in milliseconds, so that the conversion to a `Duration` can't overflow.
 const MAX_CONFIGURED_DEADLINE_MS: f64 = 1e9;
 
 impl Frontend {
-    /// Finishes the requests that have been accepted, and those that still arrive if there is no successor.
+    /// Finishes the accepted requests and, if there is no successor, the requests that still arrive.
     pub(super) async fn shut_down(self: &Rc<Self>, listener: TcpListener) {
-        self.stopping.set(true);
+        self.is_shutting_down.set(true);
         let response_deadline = self.shutdown_response_deadline();
         self.inbox.put(Input::ShutdownDeadline(response_deadline));
-        if self.hand_over() {
+        if self.announce_stop() {
             self.leave_to_successor(listener).await;
         } else {
             self.inbox.put(Input::ShutdownWithoutSuccessor);
-            self.accept_last(listener).await;
+            self.accept_remaining(listener).await;
         }
         self.finish_requests(response_deadline + WRITE_TIME).await;
     }
 
-    /// By when all requests must have their response.
+    /// The time by which all requests must have their response.
     fn shutdown_response_deadline(&self) -> Instant {
         let longest_ms = self.classes.borrow().longest_deadline().clamp(0.0, MAX_CONFIGURED_DEADLINE_MS);
-        let longest = Duration::from_secs_f64(longest_ms / 1000.0);
-        Instant::now() + longest.min(MAX_DEADLINE) + KILL_TIME - RESPONSE_MARGIN
+        let longest_deadline = Duration::from_secs_f64(longest_ms / 1000.0);
+        Instant::now() + longest_deadline.min(MAX_DEADLINE) + KILL_DELAY_AFTER_DEADLINE - RESPONSE_MARGIN
     }
 
-    /// Leaves the clients to a successor; returns whether there is one.
-    fn hand_over(&self) -> bool {
+    /// Announces the stop to the other processes of this proxy. Returns whether a successor serves clients already.
+    fn announce_stop(&self) -> bool {
         self.limits.handover.as_ref().is_some_and(|handover| handover.announce_stop())
     }
 
-    /// The successor accepts new connections. Those open here close with their next response, if one comes soon: closed
-    /// before that, a connection could cross a request.
+    /// Stops accepting, because the successor accepts new connections. The open connections close with their next
+    /// response if there is one within [`HANDOVER_TIME`]; closing them earlier could cross a request that the client is
+    /// just sending.
     async fn leave_to_successor(&self, listener: TcpListener) {
         drop(listener);
         sleep(HANDOVER_TIME).await;
@@ -67,12 +71,13 @@
         self.connections.close_all(Stage::New, ClientClose::Shutdown);
     }
 
-    /// Accepts connections for as long as the load balancer in front may still open any.
-    async fn accept_last(self: &Rc<Self>, listener: TcpListener) {
-        // Idle connections close now: a request that crosses that is sent again while connections are still accepted.
+    /// Accepts connections for as long as the load balancer in front of the proxy may still open new ones.
+    async fn accept_remaining(self: &Rc<Self>, listener: TcpListener) {
+        // Idle connections close now: if a request crosses the close, the client can resend it on a new connection,
+        // which is still accepted.
         self.connections.close_all(Stage::Idle, ClientClose::Shutdown);
         self.accept_until(&listener, Instant::now() + ACCEPT_TIME).await;
-        // A bound, should they never cease to arrive.
+        // The time limit is for the case that connections never cease to arrive.
         self.accept_until_empty(&listener, Instant::now() + ACCEPT_TIME).await;
         drop(listener);
         sleep(FIRST_BYTE_TIME).await;
@@ -88,14 +93,14 @@
         }
     }
 
-    /// Waits until no request is in flight. One of which a part has arrived is waited for too.
+    /// Waits until no request is in flight and no part of a request head has arrived, or until the deadline.
     async fn finish_requests(&self, deadline: Instant) {
         while self.connections.has_requests() {
-            if timeout_at(deadline, self.changed.notified()).await.is_err() {
+            if timeout_at(deadline, self.connections_changed.notified()).await.is_err() {
                 warn!(open = self.connections.in_flight(), "shutdown deadline passed with requests open");
                 return;
             }
-            self.connections.close_all(Stage::Idle, ClientClose::Shutdown); // whose response has just gone out
+            self.connections.close_all(Stage::Idle, ClientClose::Shutdown); // their response has just been sent
         }
     }
 }
--- a/crates/proxy/src/frontend/socket_limits.rs
+++ b/crates/proxy/src/frontend/socket_limits.rs
@@ -1,46 +1,48 @@
-//! The limits on sockets of clients and backends, and on requests in flight.
+//! Limits on the sockets of clients and backends, and on requests in flight.
 
 use std::rc::Rc;
 
 use crate::handover::Handover;
 
-/// One socket in so many is reserved for backends, or clients and backends together would exceed the limit.
+/// One in this many sockets is reserved for backends; otherwise clients and backends together would exceed the limit.
 const BACKEND_DIVISOR: usize = 4;
-/// The part of the sockets that may have requests in flight at once, as a fraction.
+/// Numerator of the fraction of the sockets that may have a request in flight at the same time.
 const IN_FLIGHT_NUMERATOR: usize = 5;
+/// Denominator of that fraction.
 const IN_FLIGHT_DENOMINATOR: usize = 8;
 
-/// The limit on sockets for clients and backends together.
+/// The limits on the sockets of clients and backends together.
 pub struct SocketLimits {
-    /// While this process runs alone.
+    /// Maximum number of sockets while this is the only process of the proxy.
     pub alone: usize,
-    /// While another process of this proxy runs beside this one.
+    /// Maximum number of sockets while another process of this proxy runs too, during a handover.
     pub overlapping: usize,
-    /// Knows whether another process runs; `None` if there is no handover.
+    /// The handover state, which shows whether another process runs; `None` if handover is not configured.
     pub handover: Option<Rc<Handover>>,
 }
 
 impl SocketLimits {
-    /// The sockets that this process may use at present.
+    /// The number of sockets that this process may use at present.
     pub(super) fn current(&self) -> usize {
         let overlaps = self.handover.as_ref().is_some_and(|handover| handover.has_overlap());
         if overlaps { self.overlapping } else { self.alone }
     }
 
-    /// Requests that may be in flight at present.
+    /// The number of requests that may be in flight at present.
     pub(super) fn max_in_flight(&self) -> usize {
         self.current() / IN_FLIGHT_DENOMINATOR * IN_FLIGHT_NUMERATOR
     }
 
-    /// Connections of clients that may be open at present, with so many sockets of backends in use. While another
-    /// process shares the limit, older connections to backends may exceed the reserved part.
-    pub(super) fn max_clients(&self, backends_in_use: usize) -> usize {
+    /// The number of client connections that may be open at present, while `backends_in_use` sockets are in use for
+    /// backends. These can be more than the reserved part: while another process shares the limit, the connections to
+    /// backends that were opened before may exceed it.
+    pub(super) fn max_client_sockets(&self, backends_in_use: usize) -> usize {
         let sockets = self.current();
         let reserved = sockets / BACKEND_DIVISOR;
         sockets.saturating_sub(backends_in_use.max(reserved))
     }
 
-    /// The sockets reserved for backends.
+    /// The number of sockets reserved for backends while this is the only process.
     pub fn max_backends(&self) -> usize {
         self.alone / BACKEND_DIVISOR
     }
--- a/crates/proxy/src/frontend/write_watchdog.rs
+++ b/crates/proxy/src/frontend/write_watchdog.rs
@@ -1,18 +1,18 @@
-//! Notices a client that takes nothing of a streamed response.
+//! Detects a client that reads nothing of a streamed response.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A client that takes nothing of a streamed response for this long is disconnected.
+/// Time after which a client is disconnected if it reads nothing of a streamed response.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Follows the writes of a streamed response.
+/// Tracks the writes of a streamed response to a client's socket.
 pub(super) struct WriteWatchdog {
-    /// A response is being streamed.
+    /// Whether a response is being streamed.
     streaming: Cell<bool>,
-    /// When the client last took bytes of it.
+    /// When bytes were last written to the socket, or when streaming started.
     last_write: Cell<Instant>,
 }
 
@@ -21,18 +21,18 @@
         WriteWatchdog { streaming: Cell::new(false), last_write: Cell::new(now) }
     }
 
-    /// A response starts to be streamed.
+    /// Starts to watch a streamed response.
     pub(super) fn start(&self) {
         self.streaming.set(true);
         self.last_write.set(Instant::now());
     }
 
-    /// The streamed response has ended.
+    /// Stops watching, because the streamed response has ended.
     pub(super) fn stop(&self) {
         self.streaming.set(false);
     }
 
-    /// The client has taken bytes.
+    /// Records that bytes have been written to the socket.
     pub(super) fn record_write(&self) {
         if self.streaming.get() {
             self.last_write.set(Instant::now());
@@ -44,12 +44,12 @@
         self.streaming.get()
     }
 
-    /// By when the client has to take bytes of a streamed response.
+    /// The time by which more bytes of a streamed response have to be written.
     pub(super) fn deadline(&self) -> Instant {
         self.last_write.get() + WRITE_TIMEOUT
     }
 
-    /// Whether the client has taken nothing of a streamed response for too long.
+    /// Whether nothing of a streamed response could be written for [`WRITE_TIMEOUT`].
     pub(super) fn has_expired(&self) -> bool {
         self.streaming.get() && self.last_write.get().elapsed() >= WRITE_TIMEOUT
     }
