--- a/crates/proxy/src/frontend/socket_limits.rs
+++ b/crates/proxy/src/frontend/socket_limits.rs
@@ -43,7 +43,7 @@
     }
 
     /// The number of sockets reserved for backends while this is the only process.
-    pub fn max_backends(&self) -> usize {
+    pub fn max_backend_sockets(&self) -> usize {
         self.alone / BACKEND_DIVISOR
     }
 }
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -112,7 +112,7 @@
         spawn_local(peers.clone().listen(shared.inbox.clone()));
     }
     let limits = socket_limits(config.max_sockets, handover.clone());
-    let upstreams = Rc::new(new_upstreams(&config, limits.max_backends(), &shared.metrics));
+    let upstreams = Rc::new(new_upstreams(&config, limits.max_backend_sockets(), &shared.metrics));
     let parts = DriverParts {
         commands,
         classes: shared.classes.clone(),
