--- a/crates/proxy/src/frontend/socket_limits.rs
+++ b/crates/proxy/src/frontend/socket_limits.rs
@@ -14,7 +14,7 @@
 /// The limits on the sockets of clients and backends together.
 pub struct SocketLimits {
     /// Maximum number of sockets while this is the only process of the proxy.
-    pub alone: usize,
+    pub without_overlap: usize,
     /// Maximum number of sockets while another process of this proxy runs too, during a handover.
     pub overlapping: usize,
     /// The handover state, which shows whether another process runs; `None` if handover is not configured.
@@ -25,7 +25,7 @@
     /// The number of sockets that this process may use at present.
     pub(super) fn current(&self) -> usize {
         let overlaps = self.handover.as_ref().is_some_and(|handover| handover.has_overlap());
-        if overlaps { self.overlapping } else { self.alone }
+        if overlaps { self.overlapping } else { self.without_overlap }
     }
 
     /// The number of requests that may be in flight at present.
@@ -44,6 +44,6 @@
 
     /// The number of sockets reserved for backends while this is the only process.
     pub fn max_backend_sockets(&self) -> usize {
-        self.alone / BACKEND_DIVISOR
+        self.without_overlap / BACKEND_DIVISOR
     }
 }
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -167,7 +167,7 @@
 /// The sockets for clients and upstreams: half as many while another process of this proxy uses the other half.
 fn socket_limits(max_sockets: usize, handover: Option<Rc<Handover>>) -> SocketLimits {
     SocketLimits {
-        alone: max_sockets.saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS),
+        without_overlap: max_sockets.saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS),
         overlapping: (max_sockets / 2).saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS / 2),
         handover,
     }
