--- a/crates/proxy/src/frontend/socket_limits.rs
+++ b/crates/proxy/src/frontend/socket_limits.rs
@@ -16,7 +16,7 @@
     /// Maximum number of sockets while this is the only process of the proxy.
     pub without_overlap: usize,
     /// Maximum number of sockets while another process of this proxy runs too, during a handover.
-    pub overlapping: usize,
+    pub with_overlap: usize,
     /// The handover state, which shows whether another process runs; `None` if handover is not configured.
     pub handover: Option<Rc<Handover>>,
 }
@@ -25,7 +25,7 @@
     /// The number of sockets that this process may use at present.
     pub(super) fn current(&self) -> usize {
         let overlaps = self.handover.as_ref().is_some_and(|handover| handover.has_overlap());
-        if overlaps { self.overlapping } else { self.without_overlap }
+        if overlaps { self.with_overlap } else { self.without_overlap }
     }
 
     /// The number of requests that may be in flight at present.
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -168,7 +168,7 @@
 fn socket_limits(max_sockets: usize, handover: Option<Rc<Handover>>) -> SocketLimits {
     SocketLimits {
         without_overlap: max_sockets.saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS),
-        overlapping: (max_sockets / 2).saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS / 2),
+        with_overlap: (max_sockets / 2).saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS / 2),
         handover,
     }
 }
