--- a/crates/proxy/benches/request.rs
+++ b/crates/proxy/benches/request.rs
@@ -1,6 +1,7 @@
-//! What one request costs: a client sends requests on one connection and waits for each response, through a proxy in
-//! this process, from a backend that responds at once. Compares what the log costs: no subscriber, a subscriber without
-//! access events, and an access event for some requests or for each.
+//! Measures the time of one request through the proxy. A client sends requests on one connection and waits for each
+//! response; the proxy and a backend that responds immediately run in the same process. The cases compare the cost of
+//! logging: without a subscriber, with a subscriber but no access events, and with an access event for 1 % of the
+//! requests or for each request.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,7 +15,7 @@
 const REQUEST: &[u8] = b"GET /page HTTP/1.1\r\nHost: x\r\nX-Request-ID: r\r\n\r\n";
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-/// One end of a connection, which reads messages with a content length.
+/// One end of a connection, on which each message with a body has a `Content-Length` header.
 struct MessageStream {
     stream: BufReader<TcpStream>,
     line: String,
@@ -22,11 +23,11 @@
 
 impl MessageStream {
     fn new(stream: TcpStream) -> Self {
-        stream.set_nodelay(true).expect("a socket");
+        stream.set_nodelay(true).expect("TCP_NODELAY is set");
         MessageStream { stream: BufReader::new(stream), line: String::new() }
     }
 
-    /// Reads one message; returns false at the end of the stream.
+    /// Reads and discards one message; returns false at the end of the stream.
     fn read(&mut self) -> bool {
         let mut length = 0;
         loop {
@@ -38,7 +39,7 @@
                 break;
             }
             if let Some(value) = self.line.to_ascii_lowercase().strip_prefix("content-length:") {
-                length = value.trim().parse().expect("a length");
+                length = value.trim().parse().expect("a valid content length");
             }
         }
         self.stream.read_exact(&mut vec![0; length]).is_ok()
@@ -49,10 +50,10 @@
     }
 }
 
-/// Starts a backend that responds to each request at once.
+/// Starts a backend that responds to each request immediately.
 fn spawn_backend() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the backend listens");
+    let address = listener.local_addr().expect("a bound listener has an address");
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             thread::spawn(move || serve_backend(MessageStream::new(stream)));
@@ -69,26 +70,26 @@
 
 fn spawn_proxy(access_rate: f64) -> Running {
     let backend = spawn_backend();
-    let text = format!(
+    let configuration = format!(
         "listen = \"127.0.0.1:0\"\n[[backends]]\naddress = \"{backend}\"\n[logging]\naccess = {access_rate}\n",
     );
-    spawn(config::parse(&text, "bench").expect("a valid configuration")).expect("it starts")
+    spawn(config::parse(&configuration, "bench").expect("a valid configuration")).expect("the proxy starts")
 }
 
 fn send_request(stream: &mut MessageStream) {
-    stream.write(REQUEST).expect("it reads");
-    assert!(stream.read(), "a response");
+    stream.write(REQUEST).expect("the proxy reads the request");
+    assert!(stream.read(), "the connection closed before a response");
 }
 
 fn benchmark_request(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("request");
     let mut run = |name: &str, access_rate: f64| {
         let proxy = spawn_proxy(access_rate);
-        let stream = TcpStream::connect(proxy.addresses.clients).expect("it accepts");
+        let stream = TcpStream::connect(proxy.addresses.clients).expect("the proxy accepts a connection");
         let mut stream = MessageStream::new(stream);
         group.bench_function(name, |bencher| bencher.iter(|| send_request(&mut stream)));
         drop(stream);
-        proxy.stop().expect("it ran");
+        proxy.stop().expect("the proxy stops without an error");
     };
     run("no subscriber", 0.01);
     let layer = tracing_subscriber::fmt::layer().with_writer(std::io::sink);
--- a/crates/proxy/src/access_record.rs
+++ b/crates/proxy/src/access_record.rs
@@ -1,4 +1,4 @@
-//! Access events: which requests leave one in the log, and what it says.
+//! Access events: the log entries for single requests, and the sampling that selects the requests to log.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,21 +10,21 @@
 
 use crate::cause::Cause;
 
-/// Selects the requests that leave an access event. Samples are spaced evenly, not drawn at random.
+/// Selects the requests for which an access event is logged. Samples are spaced evenly rather than drawn at random.
 pub struct AccessSampler {
-    /// The fraction of requests that leave one.
+    /// The fraction of requests to log, from 0 to 1.
     rate: Rc<Cell<f64>>,
-    /// The sum of the rate since the last sample, which is due at 1.
+    /// The accumulated rate; when it reaches 1, the request is sampled and 1 is subtracted.
     accumulated: Cell<f64>,
 }
 
 impl AccessSampler {
-    /// A sampler by a rate that may change.
+    /// Creates a sampler that reads `rate` at each request, as a reload may change it.
     pub fn new(rate: Rc<Cell<f64>>) -> Self {
         AccessSampler { rate, accumulated: Cell::new(0.0) }
     }
 
-    /// Whether the next request leaves an access event.
+    /// Returns whether to log an access event for the next request.
     pub fn sample(&self) -> bool {
         let accumulated = self.accumulated.get() + self.rate.get();
         let sampled = accumulated >= 1.0;
@@ -33,21 +33,23 @@
     }
 }
 
-/// What is known of one request; filled in as the request goes through the proxy.
+/// The data of one request's access event, filled in while the proxy handles the request.
 pub struct AccessRecord {
     id: String,
     class: String,
     tenant: Option<String>,
     arrived_at: Instant,
-    /// When the first attempt started, and when the last one.
+    /// When the first attempt started.
     first_attempt_at: Cell<Option<Instant>>,
+    /// When the latest attempt started.
     last_attempt_at: Cell<Option<Instant>>,
     attempts: Cell<u32>,
+    /// The name, or else the endpoint id in hexadecimal, of the backend of the latest attempt.
     backend: RefCell<Option<String>>,
 }
 
 impl AccessRecord {
-    /// A request with these names, whose last byte arrived at `arrived_at`.
+    /// Creates the record of a request whose last byte arrived at `arrived_at`.
     pub fn new(id: &str, class: &str, tenant: Option<&str>, arrived_at: Instant) -> Self {
         AccessRecord {
             id: id.to_owned(),
@@ -61,7 +63,8 @@
         }
     }
 
-    /// Records that an attempt starts; `name` is the backend's, if it is still listed.
+    /// Records the start of an attempt. `name` is the name of the backend, or `None` if it is no longer on the endpoint
+    /// list.
     pub fn record_attempt(&self, backend: EndpointId, name: Option<&str>) {
         let now = Instant::now();
         self.first_attempt_at.set(self.first_attempt_at.get().or(Some(now)));
@@ -71,7 +74,8 @@
         *self.backend.borrow_mut() = Some(name);
     }
 
-    /// Writes the event. Times are in milliseconds: until the first attempt, since the last one, in total.
+    /// Logs the access event. Its times are in milliseconds: `waited_ms` from arrival to the first attempt,
+    /// `backend_ms` since the start of the latest attempt, and `total_ms` for the whole request.
     pub fn log(&self, cause: Cause, total: Duration) {
         let until_first_attempt =
             self.first_attempt_at.get().map_or(total, |at| at.saturating_duration_since(self.arrived_at));
@@ -92,7 +96,7 @@
     }
 }
 
-/// Milliseconds to three decimal places.
+/// Converts a duration to milliseconds, rounded to three decimal places.
 fn rounded_ms(duration: Duration) -> f64 {
     let micros = (duration.as_secs_f64() * 1e6).round();
     micros / 1e3
--- a/crates/proxy/src/access_record/tests.rs
+++ b/crates/proxy/src/access_record/tests.rs
@@ -1,7 +1,8 @@
-//! Sampling of access events.
+//! Tests of the sampling of access events.
 
 use super::*;
 
+/// Guards against unevenly spaced samples, and against a sampler that ignores a changed rate.
 #[test]
 fn samples_are_evenly_spaced() {
     let rate = Rc::new(Cell::new(0.25));
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -1,5 +1,5 @@
-//! The admin address: metrics and commands for operators. It has a thread and a runtime of its own, so that a busy proxy
-//! responds in time too.
+//! The HTTP server at the admin address, which serves metrics and commands to operators. It runs on a dedicated thread
+//! and runtime, so that it responds in time even while the proxy is busy.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -25,51 +25,53 @@
 use crate::metrics::Metrics;
 use crate::socket::Uninterrupted;
 
-/// Connections at a time; one more ends the oldest. A caller that finishes no call must not keep others out.
+/// Maximum number of concurrent connections. A new connection beyond it closes the oldest one, so that callers that
+/// never complete a request can't block others.
 const MAX_CONNECTIONS: usize = 12;
-/// A call must be over within this time of its connection: callers wait for 1 s.
-const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest wait for the driver's reply to a command.
+/// Maximum duration of a connection, which serves one request. Callers wait for 1 s.
+const CONNECTION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum time to wait for the driver's reply to a command.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
-/// Longest head of a call, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD_SIZE: usize = 8 << 10;
-/// The content type of OpenMetrics.
+/// The content type of the OpenMetrics text format.
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Wait after a failed accept, which would be repeated at once otherwise.
+/// Delay after a failed accept, which would otherwise be retried immediately.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What operators can command.
+/// A command of an operator.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Send no new requests to this endpoint.
+    /// Puts the backend of this name into maintenance: the proxy sends it no new requests.
     StartMaintenance(String),
-    /// Use this endpoint again.
+    /// Ends the maintenance of the backend of this name.
     EndMaintenance(String),
-    /// Send clients elsewhere, or accept them again.
+    /// Drains the proxy, so that clients are sent to other proxies, if true; ends the drain if false.
     Drain(bool),
 }
 
-/// A command, with the sender of the reply: whether it is in effect.
+/// A command with the channel for its reply.
 pub struct CommandRequest {
     pub command: Command,
+    /// Receives true once the command is in effect, and false if it could not be applied.
     pub reply: oneshot::Sender<bool>,
 }
 
-/// What calls are served from.
+/// The state from which requests at the admin address are served.
 #[derive(Clone)]
 pub struct Service {
     pub commands: mpsc::UnboundedSender<CommandRequest>,
     pub metrics: Arc<Metrics>,
 }
 
-/// Listens at the admin address.
+/// Opens the listener at the admin address.
 pub fn listen(address: SocketAddr) -> std::io::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
 
-/// Serves operators in a thread of its own; returns its address.
+/// Serves the admin address on a new thread; returns the address that the listener is bound to.
 pub fn start(listener: std::net::TcpListener, service: Service) -> std::io::Result<SocketAddr> {
     let address = listener.local_addr()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -77,7 +79,7 @@
         runtime.block_on(async {
             match TcpListener::from_std(listener) {
                 Ok(listener) => serve(listener, service).await,
-                Err(error) => error!(%error, "admin listener lost"),
+                Err(error) => error!(%error, "admin listener could not be registered with the runtime"),
             }
         });
     })?;
@@ -85,7 +87,7 @@
 }
 
 async fn serve(listener: TcpListener, service: Service) {
-    let mut calls: VecDeque<JoinHandle<()>> = VecDeque::new();
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -95,13 +97,13 @@
                 continue;
             }
         };
-        calls.retain(|call| !call.is_finished());
-        if calls.len() >= MAX_CONNECTIONS
-            && let Some(oldest) = calls.pop_front()
+        connections.retain(|connection| !connection.is_finished());
+        if connections.len() >= MAX_CONNECTIONS
+            && let Some(oldest) = connections.pop_front()
         {
             oldest.abort();
         }
-        calls.push_back(tokio::spawn(serve_connection(stream, service.clone())));
+        connections.push_back(tokio::spawn(serve_connection(stream, service.clone())));
     }
 }
 
@@ -112,19 +114,19 @@
     });
     let connection = http1::Builder::new()
         .keep_alive(false)
-        .header_read_timeout(None) // the whole call has a time-out
+        .header_read_timeout(None) // CONNECTION_TIMEOUT covers the whole connection
         .max_buf_size(MAX_HEAD_SIZE)
         .serve_connection(TokioIo::new(Uninterrupted(stream)), service);
-    let _ = timeout(CALL_TIMEOUT, connection).await; // nothing is owed to a caller that was too slow
+    let _ = timeout(CONNECTION_TIMEOUT, connection).await; // a caller that is too slow gets no response
 }
 
 impl Service {
     async fn respond(&self, request: Request<Incoming>) -> Response<Full<Bytes>> {
-        match Route::of(&request) {
+        match Route::from_request(&request) {
             Route::Readiness => self.readiness(),
             Route::Stats => text_response("application/json", self.metrics.stats().to_string()),
             Route::Metrics => text_response(OPENMETRICS, self.metrics.openmetrics()),
-            Route::Command(command) => self.carry_out(command).await,
+            Route::Command(command) => self.execute(command).await,
             Route::WrongMethod => status_response(StatusCode::METHOD_NOT_ALLOWED),
             Route::Unknown => status_response(StatusCode::NOT_FOUND),
         }
@@ -135,20 +137,20 @@
         status_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
     }
 
-    async fn carry_out(&self, command: Command) -> Response<Full<Bytes>> {
+    async fn execute(&self, command: Command) -> Response<Full<Bytes>> {
         info!(?command, "operator command received");
         let (reply, replied) = oneshot::channel();
         let sent = self.commands.send(CommandRequest { command, reply }).is_ok();
         match timeout(REPLY_TIMEOUT, replied).await {
             Ok(Ok(true)) if sent => status_response(StatusCode::OK),
             Ok(Ok(_)) => status_response(StatusCode::NOT_FOUND),
-            // It may yet be carried out, but that can't be promised.
+            // The driver may still execute the command later, but this can't be guaranteed.
             Ok(Err(_)) | Err(_) => status_response(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 }
 
-/// What a call asks for.
+/// The operation that a request asks for, by its method and path.
 enum Route {
     Readiness,
     Stats,
@@ -159,7 +161,7 @@
 }
 
 impl Route {
-    fn of(request: &Request<Incoming>) -> Self {
+    fn from_request(request: &Request<Incoming>) -> Self {
         let path: Vec<&str> = request.uri().path().split('/').skip(1).collect();
         match (request.method(), path.as_slice()) {
             (&Method::GET, ["healthcheck"]) => Route::Readiness,
--- a/crates/proxy/src/cause.rs
+++ b/crates/proxy/src/cause.rs
@@ -1,30 +1,30 @@
-//! Why requests end.
+//! The causes for which requests end, as counted in metrics and logged in access events.
 
-/// Why a request ended. Each ends for exactly one cause.
+/// The cause for which a request ended. Each request ends for exactly one cause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Cause {
-    /// A backend's response was sent completely.
+    /// A backend's response was sent to the client completely.
     Served,
-    /// Rejected by the core without an attempt.
+    /// The core rejected the request without an attempt.
     RejectedBeforeAttempt,
-    /// Rejected by the core after attempts that were not processed.
+    /// The core rejected the request after attempts that no backend processed.
     RejectedAfterAttempt,
-    /// Rejected by the frontend: too many requests are open.
+    /// The frontend rejected the request, as too many requests were open.
     RejectedOverloaded,
-    /// Failed after an attempt that may have run.
+    /// The request failed after an attempt that a backend may have processed.
     Failed,
-    /// A backend's own error was passed on.
+    /// A backend's error response was passed on to the client.
     BackendError,
-    /// A response broke after it had started.
+    /// A response broke off after it had started.
     ResponseBroken,
-    /// The client did not finish its body.
+    /// The client did not complete a valid request body in time.
     RequestBodyBroken,
-    /// The client disconnected first.
+    /// The client disconnected before the request ended for another cause.
     ClientDisconnected,
 }
 
 impl Cause {
-    /// All of them.
+    /// All causes.
     pub const ALL: [Cause; 9] = [
         Cause::Served,
         Cause::RejectedBeforeAttempt,
@@ -37,7 +37,7 @@
         Cause::ClientDisconnected,
     ];
 
-    /// Its name in metrics and logs.
+    /// The name of the cause in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Cause::Served => "served",
@@ -52,7 +52,8 @@
         }
     }
 
-    /// The key of `/stats` under which it is counted; what its client ended is in none.
+    /// The key of `/stats` under which requests with this cause are counted; `None` if the client ended the request, as
+    /// `/stats` does not count these.
     pub(crate) fn stats_key(self) -> Option<&'static str> {
         match self {
             Cause::Served => Some("completed"),
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -1,5 +1,6 @@
-//! The request classes on offer, over reloads. A class is a name with its rules; the balancer knows it by the index of its
-//! entry, and an entry keeps its rules for as long as a request uses it.
+//! The request classes, across reloads of the configuration. A class is a name with its rules, and is stored in an
+//! entry whose index identifies the class to the balancer. An entry keeps its class while the current configuration
+//! contains the class or an open request uses it.
 
 use std::rc::Rc;
 
@@ -10,16 +11,17 @@
 
 use crate::config::{Dialect, Plain, Route};
 
-/// Entries of earlier configurations that open requests may keep in use. The classes of the running configuration and
-/// of the new one have theirs besides: a reload takes any file that a start takes, even if no class stays as it was.
+/// Maximum number of entries for classes of earlier configurations that open requests still use. The classes of the
+/// running configuration and of the new one have entries in addition, so that a reload accepts any file that a start
+/// accepts, even if every class changes.
 const MAX_FORMER_ENTRIES: usize = 1024;
 
-/// Open requests use more classes of earlier configurations than there are entries for.
+/// The error of a reload while open requests use more classes of earlier configurations than there are entries for.
 #[derive(Debug, thiserror::Error)]
-#[error("open requests hold over {MAX_FORMER_ENTRIES} classes of earlier files")]
+#[error("open requests still use more than {MAX_FORMER_ENTRIES} classes of earlier configurations")]
 pub struct TooManyFormerClasses;
 
-/// Each request of a class has one: the class's entry is not reused meanwhile.
+/// A reference of an open request to the entry of its class; the entry is not reused while a reference exists.
 #[derive(Clone, Default)]
 pub struct ClassLease(Rc<()>);
 
@@ -29,31 +31,37 @@
     }
 }
 
-/// An entry of the balancer, with the class that has it.
+/// An entry for one class.
 struct ClassEntry {
     name: Rc<str>,
     rules: RequestClass,
     lease: ClassLease,
-    is_offered: bool,
+    /// Whether the current configuration contains the class.
+    is_configured: bool,
 }
 
 impl ClassEntry {
     fn new(name: &str, rules: &RequestClass) -> Self {
-        ClassEntry { name: name.into(), rules: rules.clone(), lease: ClassLease::default(), is_offered: true }
+        ClassEntry {
+            name: name.into(),
+            rules: rules.clone(),
+            lease: ClassLease::default(),
+            is_configured: true,
+        }
     }
 
-    /// Whether it has a class of this name with these rules.
-    fn is_same(&self, name: &str, rules: &RequestClass) -> bool {
+    /// Whether the entry holds the class of this name with these rules.
+    fn has_class(&self, name: &str, rules: &RequestClass) -> bool {
         *self.name == *name && self.rules == *rules
     }
 
-    /// Whether it can be reused for another class.
+    /// Whether the entry can be reused for another class.
     fn is_free(&self) -> bool {
-        !self.is_offered && !self.lease.is_in_use()
+        !self.is_configured && !self.lease.is_in_use()
     }
 }
 
-/// A class as one request uses it.
+/// A class as used by one request, with the lease that keeps its entry from being reused.
 pub struct ClassHandle {
     pub id: ClassId,
     pub name: Rc<str>,
@@ -61,15 +69,16 @@
     pub lease: ClassLease,
 }
 
-/// All entries, the names of the tenants and the way requests are read.
+/// The entries of all classes, the names of the tenants and the dialect of requests.
 pub struct Classes {
     entries: Vec<ClassEntry>,
     pub tenants: Vec<String>,
+    /// How the class and other data of a request are read from its head.
     pub dialect: Dialect,
 }
 
 impl Classes {
-    /// The classes of the configuration at the start.
+    /// Creates entries for the classes of the first configuration.
     pub fn new(names: &Names, rules: &[RequestClass], dialect: &Dialect) -> Self {
         let classes = names.classes.iter().zip(rules);
         Classes {
@@ -79,9 +88,9 @@
         }
     }
 
-    /// The class of that name, if it is on offer.
+    /// Returns the class of this name, if the current configuration contains it.
     pub fn find(&self, name: &str) -> Option<ClassHandle> {
-        let index = self.entries.iter().position(|entry| entry.is_offered && *entry.name == *name)?;
+        let index = self.entries.iter().position(|entry| entry.is_configured && *entry.name == *name)?;
         let ClassEntry { name, rules, lease, .. } = &self.entries[index];
         Some(ClassHandle {
             id: ClassId(index),
@@ -91,26 +100,28 @@
         })
     }
 
-    /// The class of a path and a method: that of the longest matching path, the first of equally long ones.
+    /// Returns the class of the matching route with the longest path; if several paths are equally long, the first one
+    /// is used.
     pub fn route(&self, plain: &Plain, path: &str, method: &Method) -> Option<ClassHandle> {
         let matching = plain.routes.iter().filter(|route| matches(route, path, method));
         let best = matching.rev().max_by_key(|route| route.path.trim_end_matches('/').len())?;
         self.find(&best.class)
     }
 
-    /// Names on offer, with the indices of their entries.
+    /// Returns the names of the configured classes with the indices of their entries.
     pub fn offered(&self) -> impl Iterator<Item = (&str, usize)> {
-        let entries = self.entries.iter().enumerate().filter(|(_, entry)| entry.is_offered);
+        let entries = self.entries.iter().enumerate().filter(|(_, entry)| entry.is_configured);
         entries.map(|(index, entry)| (&*entry.name, index))
     }
 
-    /// The longest deadline of a class that is on offer or has open requests.
+    /// Returns the longest deadline, in milliseconds, of the classes that are configured or have open requests.
     pub fn longest_deadline(&self) -> f64 {
         let used = self.entries.iter().filter(|entry| !entry.is_free());
         used.map(|entry| entry.rules.deadline).fold(0.0, f64::max)
     }
 
-    /// Offers the classes of these settings and no others; returns the settings with the entries as classes.
+    /// Replaces the configured classes by those of these settings. Returns the settings with all entries as their
+    /// classes, so that the index of a class is that of its entry.
     pub fn reconfigure(
         &mut self, names: &Names, mut settings: Settings, dialect: &Dialect,
     ) -> Result<Reconfiguration, TooManyFormerClasses> {
@@ -124,14 +135,15 @@
         Ok(Reconfiguration {
             settings,
             inherits_from,
-            offered: self.entries.iter().map(|entry| entry.is_offered).collect(),
+            offered: self.entries.iter().map(|entry| entry.is_configured).collect(),
         })
     }
 
+    /// Whether the new classes fit without exceeding the maximum number of entries of earlier configurations.
     fn has_capacity_for(&self, names: &Names, settings: &Settings) -> bool {
         let is_unchanged = |entry: &&ClassEntry| {
             let mut classes = names.classes.iter().zip(&settings.classes);
-            classes.any(|(name, rules)| entry.is_same(name, rules))
+            classes.any(|(name, rules)| entry.has_class(name, rules))
         };
         let unchanged = self.entries.iter().filter(is_unchanged).count().min(settings.classes.len());
         let added = settings.classes.len() - unchanged;
@@ -140,26 +152,27 @@
         self.entries.len() + added <= max_entries + free
     }
 
-    /// Offers these classes and no others. Returns, by entry, the entry before from which its class inherits what has
-    /// been learned.
+    /// Replaces the configured classes by these. Returns, for each entry, the index of the previous entry whose learned
+    /// statistics its class inherits, if there is one.
     fn replace_classes(&mut self, names: &Names, rules: &[RequestClass]) -> Vec<Option<usize>> {
         let mut inherits_from: Vec<Option<usize>> = (0..self.entries.len()).map(Some).collect();
-        let before: Vec<(Rc<str>, usize)> =
+        let previous: Vec<(Rc<str>, usize)> =
             self.offered().map(|(name, index)| (name.into(), index)).collect();
-        // An entry that was on offer is not reused now, as another class may inherit from it.
-        let inheritable: FxHashSet<usize> = before.iter().map(|(_, index)| *index).collect();
+        // The entry of a class that was configured until now is not reused, as another class may inherit its
+        // statistics.
+        let inheritable: FxHashSet<usize> = previous.iter().map(|(_, index)| *index).collect();
         for entry in &mut self.entries {
-            entry.is_offered = false;
+            entry.is_configured = false;
         }
         for (name, rules) in names.classes.iter().zip(rules) {
             let unchanged =
-                self.entries.iter_mut().find(|entry| !entry.is_offered && entry.is_same(name, rules));
+                self.entries.iter_mut().find(|entry| !entry.is_configured && entry.has_class(name, rules));
             if let Some(entry) = unchanged {
-                entry.is_offered = true;
+                entry.is_configured = true;
                 continue;
             }
             let entry = ClassEntry::new(name, rules);
-            let inherited = before.iter().find(|(other, _)| **other == **name).map(|(_, index)| *index);
+            let inherited = previous.iter().find(|(other, _)| **other == **name).map(|(_, index)| *index);
             let mut indices = 0..self.entries.len();
             match indices.find(|index| self.entries[*index].is_free() && !inheritable.contains(index)) {
                 Some(index) => {
@@ -176,7 +189,8 @@
     }
 }
 
-/// Whether a route's path, in whole segments, and its methods match a request.
+/// Whether a route matches a request: its path is a prefix of whole segments, and its methods, if any are listed,
+/// include the one of the request.
 fn matches(route: &Route, path: &str, method: &Method) -> bool {
     let prefix = route.path.trim_end_matches('/');
     let rest = path.strip_prefix(prefix);
--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -1,32 +1,32 @@
-//! Why connections are closed.
+//! The reasons for which connections are closed, as counted in metrics.
 
-/// Why a client's connection was closed.
+/// The reason for which a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ClientClose {
-    /// The client closed it, or it broke.
+    /// The client closed the connection, or the connection broke.
     ByClient,
-    /// With a response that announced it.
+    /// The proxy sent a response that announced the close.
     WithResponse,
-    /// Its socket was needed for another one.
+    /// The limit on sockets was reached, and another connection needed the socket.
     Evicted,
-    /// It was idle for too long.
+    /// The connection was idle for too long.
     Idle,
-    /// It was idle while the operators drain the proxy.
+    /// The connection was idle while operators had drained the proxy.
     Drained,
-    /// The process shuts down.
+    /// The process is shutting down.
     Shutdown,
-    /// Its request was not complete in time.
+    /// The request on the connection was not complete in time.
     RequestTimeout,
-    /// It took nothing of its streamed response.
+    /// The client read nothing of a streamed response for too long.
     WriteTimeout,
-    /// It was asked to close and did not in time.
+    /// The connection did not close in time after its close was requested.
     CloseTimeout,
-    /// What it sent is not HTTP.
+    /// The client sent bytes that are not valid HTTP.
     Malformed,
 }
 
 impl ClientClose {
-    /// All of them.
+    /// All reasons.
     pub const ALL: [ClientClose; 10] = [
         ClientClose::ByClient,
         ClientClose::WithResponse,
@@ -40,7 +40,7 @@
         ClientClose::Malformed,
     ];
 
-    /// Its name in metrics and logs.
+    /// The name of the reason in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             ClientClose::ByClient => "by_client",
@@ -57,26 +57,26 @@
     }
 }
 
-/// Why a connection to a backend was closed.
+/// The reason for which a connection to a backend was closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum BackendClose {
-    /// Its attempt was abandoned, or broke.
+    /// The attempt on the connection was abandoned, or broke off.
     #[default]
     AttemptEnded,
-    /// Its response or its backend does not allow its reuse.
+    /// The response or the backend does not allow the connection to be reused.
     NotReusable,
-    /// It was idle for too long.
+    /// The connection was idle for too long.
     Idle,
-    /// Its backend closed it, or sent unsolicited bytes.
+    /// The backend closed the connection, or sent unsolicited bytes.
     ByBackend,
-    /// Its socket was needed for another one.
+    /// The limit on sockets was reached, and another connection needed the socket.
     Evicted,
-    /// Its backend accepts no new requests.
+    /// The backend accepts no new requests.
     OutOfService,
 }
 
 impl BackendClose {
-    /// All of them.
+    /// All reasons.
     pub const ALL: [BackendClose; 6] = [
         BackendClose::AttemptEnded,
         BackendClose::NotReusable,
@@ -86,7 +86,7 @@
         BackendClose::OutOfService,
     ];
 
-    /// Its name in metrics and logs.
+    /// The name of the reason in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             BackendClose::AttemptEnded => "attempt_ended",
--- a/crates/proxy/src/denial.rs
+++ b/crates/proxy/src/denial.rs
@@ -1,24 +1,24 @@
-//! Why an attempt is denied as its first byte is about to be written.
+//! The reasons for which an attempt is denied immediately before its first byte is written.
 
 use leadrelay_core::Invariant;
 
-/// Why the first byte of a request may not be written.
+/// The reason for which the first byte of a request may not be written to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Denial {
     /// The endpoint list may be out of date.
     ListStale,
     /// The backend accepts no new requests.
     OutOfService,
-    /// The request has its response, or has been abandoned.
+    /// The request already has its response, or has been abandoned.
     RequestClosed,
     /// The client has disconnected.
     ClientDisconnected,
-    /// An earlier attempt may have run, and the backend no longer detects the duplicate.
+    /// A backend may have processed an earlier attempt, and duplicates are no longer detected.
     IdempotencyWindowOver,
 }
 
 impl Denial {
-    /// All of them.
+    /// All reasons.
     pub const ALL: [Denial; 5] = [
         Denial::ListStale,
         Denial::OutOfService,
@@ -27,7 +27,7 @@
         Denial::IdempotencyWindowOver,
     ];
 
-    /// Its name in metrics and logs.
+    /// The name of the reason in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Denial::ListStale => "list_stale",
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The invariant that sending the request anyway would violate.
+    /// The invariant that would be violated by sending the request despite the denial.
     pub fn invariant(self) -> Invariant {
         match self {
             Denial::ListStale => Invariant::ListCurrent,
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep a proxy from starting or end it.
+//! Errors that prevent a proxy from starting or that end it.
 
 use std::io;
 
@@ -8,53 +8,54 @@
 use crate::config::Faults;
 use crate::passed_socket::PassedSocketError;
 
-/// Why a proxy does not start or has ended.
+/// The error for which a proxy did not start or has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error("{0}")]
     Config(#[from] Faults),
-    /// Something in the environment can't be used.
+    /// The environment variable for the passed socket, or that socket, can't be used.
     #[error("{0}")]
     Environment(#[from] PassedSocketError),
-    /// The system refused something, usually a port that is in use.
-    #[error("{what}: {source}")]
-    System {
-        /// What was needed.
-        what: String,
-        /// The system's error.
+    /// An operation of the operating system failed, usually listening on a port that is in use.
+    #[error("{operation}: {source}")]
+    OperatingSystem {
+        /// The operation that failed, such as "cannot listen on 127.0.0.1:80".
+        operation: String,
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The driver has ended while the proxy ran.
+    /// The driver ended before the proxy was stopped.
     #[error("the driver has ended: {0}")]
     Driver(#[from] DriverEnd),
 }
 
-/// How the driver has ended.
+/// The way in which the driver, or the proxy's thread, ended.
 #[derive(Debug, thiserror::Error)]
 pub enum DriverEnd {
-    /// Its task ended while the proxy ran.
+    /// The driver's task ended while the proxy ran, with this result.
     #[error("{0:?}")]
     Task(Result<(), JoinError>),
-    /// The work before its start ended without a result.
+    /// The work that prepares the start of the proxy ended without a result.
     #[error("{0}")]
     Preparation(#[from] RecvError),
-    /// Its thread ended before the proxy listened.
-    #[error("at its start")]
+    /// The proxy's thread ended before the proxy listened.
+    #[error("its thread ended before the proxy listened")]
     Start,
-    /// Its thread panicked.
-    #[error("a panic")]
+    /// The proxy's thread panicked.
+    #[error("its thread panicked")]
     Panic,
 }
 
 impl Error {
-    /// A conversion for errors of the system, with what was needed.
-    pub(crate) fn system(what: impl Into<String>) -> impl FnOnce(io::Error) -> Error {
-        let what = what.into();
-        move |source| Error::System { what, source }
+    /// Returns a conversion from an error of the operating system, for use with `map_err`. `operation` says what
+    /// failed.
+    pub(crate) fn operating_system(operation: impl Into<String>) -> impl FnOnce(io::Error) -> Error {
+        let operation = operation.into();
+        move |source| Error::OperatingSystem { operation, source }
     }
 
-    /// Whether the configuration or the environment must be changed.
+    /// Whether the configuration or the environment must be changed before the proxy can start.
     pub fn is_usage(&self) -> bool {
         matches!(self, Error::Config(_) | Error::Environment(_))
     }
--- a/crates/proxy/src/head.rs
+++ b/crates/proxy/src/head.rs
@@ -1,4 +1,5 @@
-//! Reads from a request's head what the core has to know; a request whose head is invalid is rejected.
+//! Reads from a request's head the data that the core and the frontend need; a request with an invalid head is
+//! rejected.
 
 mod fields;
 mod plain;
@@ -14,34 +15,36 @@
 use crate::config::Dialect;
 use crate::rejection::Rejection;
 
-/// What a request's head says.
+/// The data that is read from a request's head.
 pub struct RequestMeta {
-    /// The client's id of the request, or a generated one.
+    /// The request id: the one that the client sent, or else a generated one.
     pub id: String,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassHandle,
-    /// Its tenant, if tenants are configured.
+    /// The tenant of the request, if tenants are configured and the head names one of them.
     pub tenant: Option<TenantId>,
-    /// What sticky requests have in common.
+    /// The key that is common to requests which should go to the same backend (session affinity).
     pub affinity_key: Option<AffinityKey>,
-    /// The work that its client expects it to be.
+    /// The processing time that the client expects for the request, in milliseconds.
     pub expected_cost: Option<Millis>,
-    /// How long the client waits for the response.
+    /// How long the client waits for the response; no longer than the deadline of the class.
     pub timeout: Duration,
-    /// Whether the client announced that with a first try, as far as is known.
+    /// Whether the client is known to send the request for the first time. The timeout of a client's retry may be only
+    /// what is left of the original one.
     pub is_first_try: bool,
-    /// Whether its id may be used by one open request only.
+    /// Whether the request is rejected if another open request has the same id.
     pub requires_unique_id: bool,
-    /// Whether backends are sent `X-Forwarded-*` headers, and the id if the client sent none.
+    /// Whether `X-Forwarded-*` headers, and a generated id if the client sent none, are added to the request for the
+    /// backend.
     pub adds_forwarding_headers: bool,
 }
 
-/// Reads a head; `number` identifies the request within this process.
+/// Reads a request's head. `request_number` is unique within this process.
 pub fn read(
-    classes: &Classes, method: &Method, uri: &Uri, headers: &HeaderMap, number: u64,
+    classes: &Classes, method: &Method, uri: &Uri, headers: &HeaderMap, request_number: u64,
 ) -> Result<RequestMeta, Rejection> {
     match &classes.dialect {
         Dialect::Platform => platform::read(classes, method, uri, headers),
-        Dialect::Plain(plain) => plain::read(classes, plain, method, uri, headers, number),
+        Dialect::Plain(plain) => plain::read(classes, plain, method, uri, headers, request_number),
     }
 }
--- a/crates/proxy/src/head/plain.rs
+++ b/crates/proxy/src/head/plain.rs
@@ -1,4 +1,4 @@
-//! Heads of any HTTP/1.1 request, by configured routes.
+//! Reads heads of general HTTP/1.1 requests, whose class is given by the configured routes.
 
 use std::time::Duration;
 
@@ -14,9 +14,10 @@
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Reads the head of any request. A class that is idempotent with a key needs one.
+/// Reads the head of a general HTTP/1.1 request. The header `Idempotency-Key` is mandatory for a class whose requests
+/// are idempotent with a key.
 pub(super) fn read(
-    classes: &Classes, plain: &Plain, method: &Method, uri: &Uri, headers: &HeaderMap, number_in_process: u64,
+    classes: &Classes, plain: &Plain, method: &Method, uri: &Uri, headers: &HeaderMap, request_number: u64,
 ) -> Result<RequestMeta, Rejection> {
     if *method == Method::CONNECT || headers.contains_key(header::UPGRADE) {
         return Err(Rejection::TunnelOrUpgrade);
@@ -30,7 +31,7 @@
     let timeout_s =
         number(headers, "x-timeout")?.map_or(max_timeout_s, |requested| requested.min(max_timeout_s));
     Ok(RequestMeta {
-        id: request_id(headers, number_in_process),
+        id: request_id(headers, request_number),
         class,
         tenant: tenant(classes, plain, headers),
         affinity_key: affinity_key(uri),
@@ -42,21 +43,22 @@
     })
 }
 
-/// The client's id, or one that no other request of this process has.
-fn request_id(headers: &HeaderMap, number_in_process: u64) -> String {
+/// Returns the request id that the client sent, or else a generated one that is unique within this process.
+fn request_id(headers: &HeaderMap, request_number: u64) -> String {
     match printable(headers, "x-request-id").filter(|id| !id.is_empty()) {
         Some(id) => id.to_owned(),
-        None => format!("{:08x}-{number_in_process:x}", std::process::id()),
+        None => format!("{:08x}-{request_number:x}", std::process::id()),
     }
 }
 
-/// The tenant; an unknown one is none.
+/// Returns the tenant that the head names; `None` if there is none or it is not configured.
 fn tenant(classes: &Classes, plain: &Plain, headers: &HeaderMap) -> Option<TenantId> {
     let name = printable(headers, &plain.tenant_header)?;
     let tenant = classes.tenants.iter().position(|tenant| tenant == name)?;
     Some(TenantId(tenant))
 }
 
+/// Returns the first value of a header if it consists of visible ASCII characters.
 fn printable<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/proxy/src/head/platform.rs
+++ b/crates/proxy/src/head/platform.rs
@@ -1,4 +1,4 @@
-//! Heads by the operators' protocol.
+//! Reads heads of requests in the protocol of the operators' platform, in which the path names the class.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 const MICROS_PER_MILLI: f64 = 1000.0;
 const MILLIS_PER_SECOND: f64 = 1000.0;
 
-/// Reads a head by the operators' protocol.
+/// Reads the head of a request in the platform's protocol.
 pub(super) fn read(
     classes: &Classes, method: &Method, uri: &Uri, headers: &HeaderMap,
 ) -> Result<RequestMeta, Rejection> {
@@ -40,16 +40,18 @@
     })
 }
 
-/// The first segment of the path, which names the class.
+/// Returns the first segment of the path, which names the class.
 fn first_segment(uri: &Uri) -> &str {
     uri.path().trim_start_matches('/').split('/').next().unwrap_or_default()
 }
 
+/// Checks the method: GET for classes whose requests are always idempotent, POST for the others.
 fn check_method(class: &ClassHandle, method: &Method) -> Result<(), Rejection> {
     let expected = if class.rules.idempotency == Idempotency::Always { Method::GET } else { Method::POST };
     if *method == expected { Ok(()) } else { Err(Rejection::WrongMethod) }
 }
 
+/// Rejects a POST that lacks an idempotency key which its class requires, or has one that its class does not use.
 fn check_idempotency_key(class: &ClassHandle, method: &Method, headers: &HeaderMap) -> Result<(), Rejection> {
     let needs_key = matches!(class.rules.idempotency, Idempotency::WithKey { .. });
     let has_key = single(headers, "idempotency-key")?.is_some();
@@ -59,7 +61,7 @@
     Ok(())
 }
 
-/// The tenant, which is mandatory if any are configured.
+/// Returns the tenant, which is mandatory if any tenants are configured.
 fn tenant(classes: &Classes, headers: &HeaderMap) -> Result<Option<TenantId>, Rejection> {
     let name = single(headers, "x-tenant-id")?;
     if classes.tenants.is_empty() {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! The I/O around [`leadrelay_core`]: clients, upstreams, discovery, peers and operators. Every decision is made by the
-//! core.
+//! The I/O of the proxy: clients, upstreams, discovery, peers and operators. [`leadrelay_core`] makes the decisions on
+//! requests and backends.
 //!
-//! [`config::read`] reads a [`config::Config`], a [`Process`] runs it and handles signals, and [`spawn`] runs it in a
-//! thread of its own.
+//! [`config::read`] reads a [`config::Config`]. A [`Process`] runs a proxy with it and handles signals; [`spawn`] runs
+//! a proxy on a new thread.
 
 mod access_record;
 mod admin;
--- a/crates/proxy/src/rejection.rs
+++ b/crates/proxy/src/rejection.rs
@@ -1,22 +1,23 @@
-//! Why the proxy rejects a request itself, and how its client is told.
+//! Requests that the frontend rejects, with the status code and message of each rejection's response.
 
 use hyper::StatusCode;
 
 use crate::body_upload::BodyError;
 
-/// Why a request is rejected before it is submitted. The message is the body of the response.
+/// The reason for which a request is rejected before it is submitted to the driver. The message is the body of the
+/// response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Rejection {
-    /// The path names no class.
+    /// The path does not name a configured class.
     #[error("no such class")]
     UnknownClass,
     /// No class has a route for the path and method.
     #[error("no class takes this path and method")]
     NoRoute,
-    /// The method is not the one of the class.
+    /// The method is not the one that the class requires.
     #[error("not the method of this class")]
     WrongMethod,
-    /// An idempotency key without need, or none where the class needs one.
+    /// An idempotency key is present although the class does not use one, or missing although the class requires one.
     #[error("Idempotency-Key does not fit the class")]
     IdempotencyKeyMismatch,
     /// A mandatory header is missing.
@@ -31,16 +32,16 @@
     /// The tenant is not configured.
     #[error("no such tenant")]
     UnknownTenant,
-    /// CONNECT, or an upgrade of the connection.
+    /// The method is CONNECT, or the request asks for an upgrade of the connection.
     #[error("no tunnels and no upgrades")]
     TunnelOrUpgrade,
-    /// The length of the body is not given, or given twice.
+    /// The length of the body is not given, or is given more than once.
     #[error("the length must be told, and once")]
     AmbiguousLength,
-    /// The body is longer than any that is forwarded.
+    /// The body exceeds the maximum size.
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The id belongs to an open request.
+    /// Another open request has the same id.
     #[error("a request with this id is open")]
     IdInUse,
     /// The body did not arrive in time.
--- a/crates/proxy/src/rejection/tests.rs
+++ b/crates/proxy/src/rejection/tests.rs
@@ -1,7 +1,8 @@
-//! What clients are told.
+//! Tests of the responses to rejected requests.
 
 use super::*;
 
+/// Clients see the status code and message of each rejection, so neither may change unnoticed.
 #[test]
 fn rejections_have_their_status_and_message() {
     let cases = [
--- a/crates/proxy/src/server/background.rs
+++ b/crates/proxy/src/server/background.rs
@@ -1,4 +1,4 @@
-//! A proxy in a thread of a process that does other things too.
+//! Runs a proxy on one thread of a process that also does other work.
 
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -11,20 +11,20 @@
 use crate::error::{DriverEnd, Error};
 use crate::metrics::Metrics;
 
-/// A proxy that runs in a thread of this process.
+/// A proxy that runs on a thread of this process.
 pub struct Running {
-    /// Where it listens.
+    /// The addresses on which the proxy listens.
     pub addresses: Addresses,
-    /// Its metrics.
+    /// The metrics of the proxy.
     pub metrics: Arc<Metrics>,
     stop: oneshot::Sender<()>,
     thread: JoinHandle<Result<(), Error>>,
 }
 
-/// Starts a proxy in a thread of its own, and returns once it listens. It handles no signals.
+/// Starts a proxy on a new thread, and returns once the proxy listens. The proxy handles no signals.
 ///
 /// # Errors
-/// As [`Process::serve`](super::Process::serve).
+/// Returns an error in the cases of [`Process::serve`](super::Process::serve).
 pub fn spawn(config: Config) -> Result<Running, Error> {
     let (stop, stopped) = oneshot::channel::<()>();
     let (ready, addresses) = std::sync::mpsc::channel();
@@ -32,13 +32,13 @@
     let proxy_metrics = metrics.clone();
     let proxy = move || {
         let ready = move |addresses| {
-            let _ = ready.send(addresses); // the receiver waits for it
+            let _ = ready.send(addresses); // `spawn` waits on the receiver
         };
         let stop = async move { drop(stopped.await) };
         runtime::block_on(runtime::new()?, run::run(config, None, proxy_metrics, ready, stop))
     };
     let thread = std::thread::Builder::new().name("proxy".into()).spawn(proxy);
-    let thread = thread.map_err(Error::system("a thread for the proxy"))?;
+    let thread = thread.map_err(Error::operating_system("cannot start the proxy thread"))?;
     match addresses.recv() {
         Ok(addresses) => Ok(Running { addresses, metrics, stop, thread }),
         Err(_) => Err(join(thread).err().unwrap_or_else(|| DriverEnd::Start.into())),
@@ -50,12 +50,12 @@
 }
 
 impl Running {
-    /// Stops it; returns once it has answered all requests that it had accepted.
+    /// Stops the proxy; returns once it has responded to all requests that it had accepted.
     ///
     /// # Errors
-    /// If it had ended before.
+    /// Returns an error if the proxy ended with an error before.
     pub fn stop(self) -> Result<(), Error> {
-        let _ = self.stop.send(()); // fails if the proxy has ended by itself, which its thread tells
+        let _ = self.stop.send(()); // fails if the proxy has already ended; `join` then returns its error
         join(self.thread)
     }
 }
--- a/crates/proxy/src/server/bound_sockets.rs
+++ b/crates/proxy/src/server/bound_sockets.rs
@@ -1,4 +1,4 @@
-//! What a proxy opens at its start: sockets and the handover file.
+//! Opens the sockets and the handover file that a proxy needs at its start.
 
 use std::rc::Rc;
 
@@ -10,47 +10,50 @@
 use crate::peers::GossipSocket;
 use crate::{admin, frontend, passed_socket};
 
-/// Environment variable with the number of a listening socket's descriptor.
+/// The environment variable that holds the file descriptor of the passed listening socket.
 const PASSED_SOCKET: &str = "NODE_PASSED_SOCKET";
 
-/// Everything that a proxy opens.
+/// The sockets and the handover file of a proxy.
 pub struct BoundSockets {
+    /// The listener for clients.
     pub listener: TcpListener,
-    /// Only where the platform passes the listening socket on: another process of this proxy may overlap.
+    /// The handover file. Present only if the platform passes the listening socket, as another process of this proxy
+    /// may then run at the same time.
     pub handover: Option<Rc<Handover>>,
-    /// What a predecessor has left.
-    pub predecessor: Option<SharedState>,
+    /// The state that a predecessor left in the handover file.
+    pub predecessor_state: Option<SharedState>,
     pub peers: Option<Rc<GossipSocket>>,
+    /// The listener at the admin address.
     pub admin: Option<std::net::TcpListener>,
 }
 
-/// The listener, with the handover file if the listener was passed on.
+/// The listener for clients, with the handover file if the platform passed the listener to this process.
 struct Listener {
     listener: TcpListener,
     handover: Option<Handover>,
-    predecessor: Option<SharedState>,
+    predecessor_state: Option<SharedState>,
 }
 
 impl BoundSockets {
-    /// Opens all of it, or nothing.
+    /// Opens all sockets and the handover file, or returns the first error.
     pub fn open(config: &Config) -> Result<Self, Error> {
-        let Listener { listener, handover, predecessor } = open_listener(config)?;
+        let Listener { listener, handover, predecessor_state } = open_listener(config)?;
         let peers = match &config.peers {
             Some(addresses) => {
-                let what = format!("cannot listen for peers on {}", addresses.listen);
+                let operation = format!("cannot listen for peers on {}", addresses.listen);
                 let peers = GossipSocket::bind(addresses.clone(), handover.is_some());
-                Some(peers.map_err(Error::system(what))?)
+                Some(peers.map_err(Error::operating_system(operation))?)
             }
             None => None,
         };
         let admin = match config.admin {
             Some(address) => {
-                let what = format!("cannot listen for operators on {address}");
-                Some(admin::listen(address).map_err(Error::system(what))?)
+                let operation = format!("cannot listen for operators on {address}");
+                Some(admin::listen(address).map_err(Error::operating_system(operation))?)
             }
             None => None,
         };
-        Ok(BoundSockets { listener, handover: handover.map(Rc::new), predecessor, peers, admin })
+        Ok(BoundSockets { listener, handover: handover.map(Rc::new), predecessor_state, peers, admin })
     }
 }
 
@@ -60,12 +63,13 @@
         Origin::File => None,
     };
     let Some(descriptor) = descriptor else {
-        let what = format!("cannot listen on {}", config.listen);
-        let listener = frontend::listen(config.listen).map_err(Error::system(what))?;
-        return Ok(Listener { listener, handover: None, predecessor: None });
+        let operation = format!("cannot listen on {}", config.listen);
+        let listener = frontend::listen(config.listen).map_err(Error::operating_system(operation))?;
+        return Ok(Listener { listener, handover: None, predecessor_state: None });
     };
     let listener = passed_socket::from_descriptor(&descriptor)?;
-    let listener = TcpListener::from_std(listener).map_err(Error::system("the passed socket"))?;
-    let (handover, predecessor) = Handover::open(&std::env::temp_dir(), &config.name);
-    Ok(Listener { listener, handover: Some(handover), predecessor })
+    let listener =
+        TcpListener::from_std(listener).map_err(Error::operating_system("cannot use the passed socket"))?;
+    let (handover, predecessor_state) = Handover::open(&std::env::temp_dir(), &config.name);
+    Ok(Listener { listener, handover: Some(handover), predecessor_state })
 }
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -1,7 +1,8 @@
-//! One proxy from its start to its end.
+//! Starts, runs and stops one proxy.
 //!
-//! `process` is a process that handles signals, `background` a thread without; both use `run`, which connects the parts
-//! of the proxy. `bound_sockets` opens what it needs, `reload` applies a changed configuration.
+//! `process` runs a proxy in a process that handles signals; `background` runs one on a thread, without signals. Both
+//! use `run`, which connects the parts of the proxy. `bound_sockets` opens its sockets and the handover file, and
+//! `reload` applies a changed configuration.
 
 mod background;
 mod bound_sockets;
--- a/crates/proxy/src/server/process.rs
+++ b/crates/proxy/src/server/process.rs
@@ -1,4 +1,4 @@
-//! A process that is one proxy and handles signals.
+//! Runs one proxy in a process that handles signals.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -12,7 +12,8 @@
 use crate::config::Config;
 use crate::error::{DriverEnd, Error};
 
-/// A process that handles its signals. Until it is created they end the process, so it is created before all else.
+/// The signal handlers and the runtime of a process that runs one proxy. Until this is created the signals have their
+/// default action and terminate the process, so create it before anything else.
 pub struct Process {
     runtime: Runtime,
     terminate: Signal,
@@ -21,32 +22,33 @@
 }
 
 impl Process {
-    /// Starts to handle SIGTERM, SIGINT and SIGHUP.
+    /// Installs handlers for SIGTERM, SIGINT and SIGHUP.
     ///
     /// # Errors
-    /// If the system does not let it.
+    /// Returns an error if the runtime or a signal handler can't be created.
     pub fn new() -> Result<Self, Error> {
         let runtime = runtime::new()?;
         let context = runtime.enter();
-        let handle = |kind, name: &str| signal(kind).map_err(Error::system(name));
-        let terminate = handle(SignalKind::terminate(), "SIGTERM")?;
-        let interrupt = handle(SignalKind::interrupt(), "SIGINT")?;
-        let hangup = handle(SignalKind::hangup(), "SIGHUP")?;
+        let handle = |kind, operation: &str| signal(kind).map_err(Error::operating_system(operation));
+        let terminate = handle(SignalKind::terminate(), "cannot handle SIGTERM")?;
+        let interrupt = handle(SignalKind::interrupt(), "cannot handle SIGINT")?;
+        let hangup = handle(SignalKind::hangup(), "cannot handle SIGHUP")?;
         drop(context);
         Ok(Process { runtime, terminate, interrupt, hangup })
     }
 
-    /// Does work that may take long before the proxy runs; `None` if the process is signalled to end meanwhile.
+    /// Runs `work`, which may take long, on another thread before the proxy starts. Returns `None` if SIGTERM or SIGINT
+    /// arrives before `work` is done.
     ///
     /// # Errors
-    /// If there is no thread for it, or it panics.
+    /// Returns an error if the thread can't be started or `work` panics.
     pub fn prepare<T: Send + 'static>(
         &mut self, work: impl FnOnce() -> T + Send + 'static,
     ) -> Result<Option<T>, Error> {
-        let (done, result) = oneshot::channel();
-        let work = move || drop(done.send(work())); // fails if the process is signalled to end meanwhile
+        let (result_sender, result) = oneshot::channel();
+        let work = move || drop(result_sender.send(work())); // fails if SIGTERM or SIGINT arrived first
         let thread = std::thread::Builder::new().name("start".into()).spawn(work);
-        thread.map_err(Error::system("a thread for the start"))?;
+        thread.map_err(Error::operating_system("cannot start the preparation thread"))?;
         let terminate = &mut self.terminate;
         let interrupt = &mut self.interrupt;
         self.runtime.block_on(async {
@@ -62,11 +64,12 @@
         })
     }
 
-    /// Runs a proxy in this thread until SIGTERM or SIGINT, when it finishes the requests that it has accepted. At
-    /// SIGHUP it reads `path` again; one that came before leads to one more reading.
+    /// Runs a proxy on this thread until SIGTERM or SIGINT arrives, then completes the requests that it has accepted.
+    /// At SIGHUP it reloads the configuration from `path`. A SIGHUP that arrived before this call causes one reload.
     ///
     /// # Errors
-    /// If something that it needs can't be opened, before it has accepted anything; or if its driver ends.
+    /// Returns an error if a socket or another resource can't be opened, in which case the proxy has accepted no
+    /// connections, or if the driver ends while the proxy runs.
     pub fn serve(self, path: &Path, config: Config) -> Result<(), Error> {
         let Process { runtime, mut terminate, mut interrupt, hangup } = self;
         let stop = async move {
--- a/crates/proxy/src/server/reload.rs
+++ b/crates/proxy/src/server/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the configuration at SIGHUP: all of a file is applied, or nothing.
+//! Reloads the configuration at SIGHUP. A configuration with an error is rejected as a whole.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,34 +16,37 @@
 use crate::inbox::{Inbox, Input, ReloadedSettings};
 use crate::metrics::Metrics;
 
-/// Why a file is not applied.
+/// The reason for which a reloaded configuration is not applied.
 #[derive(Debug, thiserror::Error)]
 enum ReloadError {
-    /// The file can't be used.
+    /// The configuration file can't be read or is invalid.
     #[error(transparent)]
     Config(#[from] Faults),
-    /// The process can't change where its endpoint list comes from.
-    #[error("a change between 'backends' and 'discovery' needs a new start")]
+    /// The file replaces a fixed endpoint list by discovery or the reverse, which a running process can't do.
+    #[error("a change between 'backends' and 'discovery' requires a restart")]
     SourceChanged,
-    /// There is no place for the new classes.
+    /// There are not enough entries for the new classes.
     #[error(transparent)]
     Classes(#[from] TooManyFormerClasses),
 }
 
-/// What a reload reads and changes.
-pub struct Reload {
+/// Reloads the configuration, and holds the state that a reload changes.
+pub struct Reloader {
+    /// The path of the configuration file.
     pub path: PathBuf,
     /// The configuration in effect.
     pub running: Config,
+    /// Sends a changed address of discovery; `None` if the endpoint list is fixed.
     pub discovery_address: Option<watch::Sender<SocketAddr>>,
     pub classes: Rc<RefCell<Classes>>,
+    /// The fraction of requests for which an access event is logged.
     pub access_rate: Rc<Cell<f64>>,
     pub inbox: Inbox,
     pub metrics: Arc<Metrics>,
 }
 
-impl Reload {
-    /// Reads the file again at each SIGHUP.
+impl Reloader {
+    /// Reloads the configuration at each SIGHUP.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.reload() {
@@ -59,7 +62,8 @@
         }
     }
 
-    /// Applies the settings and the source of the endpoint list. Everything else needs a new start.
+    /// Applies the settings, the options of connections, the rate of access events and the addresses of discovery or of
+    /// the fixed endpoint list. All other changes require a restart.
     fn reload(&mut self) -> Result<(), ReloadError> {
         let new = config::reread(&self.path, &self.running.origin)?;
         match (&new.source, &self.running.source) {
@@ -67,7 +71,7 @@
             _ => return Err(ReloadError::SourceChanged),
         }
         if matches!(new.origin, Origin::File) && needs_restart(&new, &self.running) {
-            warn!("changes of listen, admin, limits, peers, zone and log filter need a restart");
+            warn!("changes of listen, admin, limits, peers, zone and log filter require a restart");
         }
         let mut classes = self.classes.borrow_mut();
         let balancer = classes.reconfigure(&new.names, new.settings.clone(), &new.dialect)?;
@@ -76,7 +80,7 @@
             self.metrics.show_class(class);
         }
         self.access_rate.set(new.logging.access);
-        // Sent before any request that is read with the new classes.
+        // The driver must receive the new settings before any request whose head is read with the new classes.
         let connections = new.connections;
         self.inbox.put(Input::Reconfigure(Box::new(ReloadedSettings { balancer, connections })));
         self.apply_source(&new.source);
@@ -101,7 +105,7 @@
     }
 }
 
-/// Whether a configuration differs from the running one in what a reload does not apply.
+/// Whether the new configuration differs from the running one in a setting that a reload does not apply.
 fn needs_restart(new: &Config, running: &Config) -> bool {
     new.listen != running.listen
         || new.admin != running.admin
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -13,7 +13,7 @@
 use tracing::info;
 
 use super::bound_sockets::BoundSockets;
-use super::reload::Reload;
+use super::reload::Reloader;
 use crate::admin::{self, CommandRequest};
 use crate::body_memory::{BodyMemory, MemoryBudget};
 use crate::classes::Classes;
@@ -28,24 +28,26 @@
 use crate::metrics::Metrics;
 use crate::upstream::UpstreamPool;
 
-/// Denominator of the fraction of the memory that bodies may take on their way, and again that may be read ahead. Two
-/// processes share the memory during an upgrade.
+/// Denominator of the fraction of the configured memory that each of two budgets gets: one for bodies that are
+/// streamed, one for bodies that are read ahead. Two processes share the memory during an upgrade.
 const BODY_MEMORY_DIVISOR: usize = 12;
-/// Descriptors for all but clients and upstreams: standard streams, runtime, signals, listener, gossip, discovery.
+/// File descriptors reserved for uses other than client and upstream connections: standard streams, runtime, signals,
+/// listener, gossip and discovery.
 const RESERVED_DESCRIPTORS: usize = 32;
 
-/// Where a proxy listens.
+/// The addresses on which a proxy listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For clients.
+    /// The address for clients.
     pub clients: SocketAddr,
-    /// For operators.
+    /// The admin address, if one is configured.
     pub admin: Option<SocketAddr>,
 }
 
-/// The file that is read again at a signal.
+/// The configuration file to reload, and the signal at which it is reloaded.
 pub struct ReloadSource {
     pub path: PathBuf,
+    /// SIGHUP.
     pub hangup: Signal,
 }
 
@@ -54,7 +56,7 @@
     inbox: Inbox,
     classes: Rc<RefCell<Classes>>,
     metrics: Arc<Metrics>,
-    /// The fraction of requests that leave an access event.
+    /// The fraction of requests for which an access event is logged.
     access_rate: Rc<Cell<f64>>,
     /// Whether operators have drained the proxy.
     drained: Rc<Cell<bool>>,
@@ -72,11 +74,11 @@
         }
     }
 
-    /// Reads the configuration again at each signal.
+    /// Starts the task that reloads the configuration at each SIGHUP.
     fn spawn_reload(
         &self, source: ReloadSource, running: Config, discovery_address: Option<watch::Sender<SocketAddr>>,
     ) {
-        let reload = Reload {
+        let reloader = Reloader {
             path: source.path,
             running,
             discovery_address,
@@ -85,21 +87,22 @@
             inbox: self.inbox.clone(),
             metrics: self.metrics.clone(),
         };
-        spawn_local(reload.run(source.hangup));
+        spawn_local(reloader.run(source.hangup));
     }
 }
 
-/// Runs a proxy until `stop`, and calls `ready` once it listens.
+/// Runs a proxy until `stop` completes, and calls `ready` once the proxy listens.
 pub async fn run(
     config: Config, reload: Option<ReloadSource>, metrics: Arc<Metrics>, ready: impl FnOnce(Addresses),
     stop: impl Future<Output = ()>,
 ) -> Result<(), Error> {
-    let BoundSockets { listener, handover, predecessor, peers, admin } = BoundSockets::open(&config)?;
-    let clients = listener.local_addr().map_err(Error::system("the listener"))?;
+    let BoundSockets { listener, handover, predecessor_state, peers, admin } = BoundSockets::open(&config)?;
+    let clients =
+        listener.local_addr().map_err(Error::operating_system("cannot read the address of the listener"))?;
     let (inbox, inputs) = Inbox::new();
     let (command_sender, commands) = mpsc::unbounded_channel();
-    // The sender stays alive here, so that the receiver remains open without a listener for operators.
-    let admin = start_admin(admin, command_sender.clone(), &metrics)?; // nothing fails after this
+    // `run` keeps a sender, so that the driver's receiver stays open if there is no admin address.
+    let admin = start_admin(admin, command_sender.clone(), &metrics)?; // the last step of the start that can fail
     for class in &config.names.classes {
         metrics.show_class(class);
     }
@@ -128,25 +131,25 @@
     log_start(&config, &addresses);
     let Config { settings, seed, names, source, cached_list, .. } = config;
     let mut driver = Driver::new(Balancer::new(settings, seed), names, parts);
-    if let Some((scope, endpoints)) = initial_list(source, &cached_list, predecessor.as_ref()) {
+    if let Some((scope, endpoints)) = initial_list(source, &cached_list, predecessor_state.as_ref()) {
         shared.inbox.put(Input::EndpointList { scope, endpoints });
     }
-    if let Some(predecessor) = predecessor {
-        driver.take_over(predecessor);
+    if let Some(predecessor_state) = predecessor_state {
+        driver.take_over(predecessor_state);
     }
     let driver = spawn_local(driver.run(inputs));
     let Shared { inbox, classes, metrics, access_rate, drained } = shared;
     let frontend =
         Frontend::new(FrontendParts { inbox, classes, upstreams, limits, metrics, drained, access_rate });
     ready(addresses);
-    // Without its driver a proxy could only fail every request: it is better ended and started anew.
+    // Without its driver the proxy could only fail every request, so it ends and can be restarted.
     tokio::select! {
         () = frontend.serve(listener, stop) => Ok(()),
-        end = driver => Err(DriverEnd::Task(end).into()),
+        result = driver => Err(DriverEnd::Task(result).into()),
     }
 }
 
-/// The channel of discovery's address, which a reload may change.
+/// Creates the channel for the address of discovery, which a reload may change; `None` if the endpoint list is fixed.
 fn discovery_channel(source: &Source) -> Option<(watch::Sender<SocketAddr>, watch::Receiver<SocketAddr>)> {
     match source {
         Source::Discovery(address) => Some(watch::channel(*address)),
@@ -160,11 +163,13 @@
 ) -> Result<Option<SocketAddr>, Error> {
     let Some(listener) = listener else { return Ok(None) };
     let service = admin::Service { commands, metrics: metrics.clone() };
-    let address = admin::start(listener, service).map_err(Error::system("the second address"))?;
+    let address =
+        admin::start(listener, service).map_err(Error::operating_system("cannot serve the admin address"))?;
     Ok(Some(address))
 }
 
-/// The sockets for clients and upstreams: half as many while another process of this proxy uses the other half.
+/// Returns the limits on client and upstream sockets. While two processes of this proxy overlap, each may use half of
+/// the sockets.
 fn socket_limits(max_sockets: usize, handover: Option<Rc<Handover>>) -> SocketLimits {
     SocketLimits {
         without_overlap: max_sockets.saturating_sub(RESERVED_DESCRIPTORS).max(RESERVED_DESCRIPTORS),
@@ -174,8 +179,8 @@
 }
 
 fn new_upstreams(config: &Config, max_connections: usize, metrics: &Arc<Metrics>) -> UpstreamPool {
-    let budget = || MemoryBudget::new(config.max_memory / BODY_MEMORY_DIVISOR);
-    let memory = BodyMemory { streamed: budget(), read_ahead: budget() };
+    let new_budget = || MemoryBudget::new(config.max_memory / BODY_MEMORY_DIVISOR);
+    let memory = BodyMemory { streamed: new_budget(), read_ahead: new_budget() };
     let is_plain = matches!(config.dialect, Dialect::Plain(_));
     UpstreamPool::new(&config.connections, max_connections, is_plain, metrics.clone(), memory)
 }
@@ -193,13 +198,14 @@
     );
 }
 
-/// The endpoint list to start with. A predecessor's list, if there is one, is applied with the rest of what it has left.
+/// Returns the endpoint list to start with. If a predecessor left a list, the result is `None`, as that list is applied
+/// with the rest of the predecessor's state; a fixed list from the configuration is always returned.
 fn initial_list(
-    source: Source, cached_list: &serde_json::Value, predecessor: Option<&SharedState>,
+    source: Source, cached_list: &serde_json::Value, predecessor_state: Option<&SharedState>,
 ) -> Option<(ListScope, Vec<ListedEndpoint>)> {
     match source {
         Source::Fixed(endpoints) => Some((ListScope::Full, endpoints)),
-        Source::Discovery(_) if predecessor.is_some_and(|left| !left.endpoints.is_empty()) => None,
+        Source::Discovery(_) if predecessor_state.is_some_and(|state| !state.endpoints.is_empty()) => None,
         Source::Discovery(_) => {
             let cached = discovery::parse_cached_list(cached_list).unwrap_or_default();
             Some((ListScope::Cached, cached))
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,4 +1,4 @@
-//! Operations on sockets that several parts of the proxy hold at once.
+//! Operations on sockets by shared reference, for sockets that several parts of the proxy use at once.
 
 use std::io;
 use std::mem::MaybeUninit;
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-// Linux error numbers.
+// Error numbers of Linux.
 const ENOMEM: i32 = 12;
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
@@ -16,22 +16,23 @@
 const EADDRNOTAVAIL: i32 = 99;
 const ENOBUFS: i32 = 105;
 
-/// Errors of opening a connection that say that this machine lacks a descriptor, memory or a port.
+/// Errors of opening a connection whose cause is a lack of file descriptors, memory or ports on this machine.
 const LOCAL_ERRORS: [i32; 6] = [EMFILE, ENFILE, ENOBUFS, ENOMEM, EADDRINUSE, EADDRNOTAVAIL];
 
-/// What can be read from a socket next.
+/// The state of a socket's receive buffer.
 #[derive(PartialEq)]
 pub enum PeekResult {
-    /// Nothing yet.
+    /// There is nothing to read yet.
     Nothing,
-    /// Unread bytes.
+    /// There are unread bytes.
     Bytes,
-    /// The end of the stream, or an error.
+    /// The stream has ended, or the connection has failed.
     End,
 }
 
-/// Peeks at a socket. The system itself is asked, which may know more than the runtime has been notified of. If the
-/// system lacks memory for a moment, that says nothing of the connection.
+/// Peeks at a socket with a system call, as the runtime may not have been notified yet of a change that the operating
+/// system knows. A temporary lack of memory in the operating system is reported as `Nothing`, as it says nothing about
+/// the connection.
 pub fn peek(stream: &TcpStream) -> PeekResult {
     loop {
         match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -46,12 +47,13 @@
     }
 }
 
-/// Whether the other side has ended the connection, if no unread bytes precede the end.
+/// Whether the other side has closed the connection or it has failed. Returns false while there are unread bytes before
+/// the end of the stream.
 pub fn has_ended(stream: &TcpStream) -> bool {
     peek(stream) == PeekResult::End
 }
 
-/// Reads through a shared reference.
+/// Polls a read from a socket by shared reference; retries interrupted calls.
 pub fn poll_read(stream: &TcpStream, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
@@ -66,7 +68,7 @@
     }
 }
 
-/// Writes through a shared reference.
+/// Polls a write to a socket by shared reference; retries interrupted calls.
 pub fn poll_write(stream: &TcpStream, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
@@ -77,23 +79,23 @@
     }
 }
 
-/// Whether an error only says that the call is to be made again, once the socket is ready.
+/// Whether the failed call only has to be repeated, once the socket is ready if it would have blocked.
 pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Whether a connection could not be opened because this machine lacks something: a descriptor, memory or a port. Such
-/// an error says nothing of the other side.
+/// Whether a connection could not be opened because this machine lacks a file descriptor, memory or a port. Such an
+/// error says nothing about the other side.
 pub fn is_local_error(error: &io::Error) -> bool {
     error.raw_os_error().is_some_and(|number| LOCAL_ERRORS.contains(&number))
 }
 
-/// Whether this machine has no route to the other side at present.
+/// Whether a connection could not be opened because this machine currently has no route to the other side.
 pub fn is_no_route(error: &io::Error) -> bool {
     error.kind() == io::ErrorKind::NetworkUnreachable
 }
 
-/// A connection that retries interrupted calls; the runtime's own passes them on as errors.
+/// A connection that retries interrupted calls; `TcpStream` returns them as errors.
 pub struct Uninterrupted(pub TcpStream);
 
 impl AsyncRead for Uninterrupted {
@@ -116,7 +118,7 @@
     }
 }
 
-/// Closes the sending side of a connection.
+/// Closes the sending side of a connection; it can still receive.
 pub fn half_close(stream: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write)
 }
