--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -2,7 +2,7 @@
 
 /// The reason for which a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum ClientClose {
+pub enum ClientCloseReason {
     /// The client closed the connection, or the connection broke.
     ByClient,
     /// The proxy sent a response that announced the close.
@@ -25,34 +25,34 @@
     Malformed,
 }
 
-impl ClientClose {
+impl ClientCloseReason {
     /// All reasons.
-    pub const ALL: [ClientClose; 10] = [
-        ClientClose::ByClient,
-        ClientClose::WithResponse,
-        ClientClose::Evicted,
-        ClientClose::Idle,
-        ClientClose::Drained,
-        ClientClose::Shutdown,
-        ClientClose::RequestTimeout,
-        ClientClose::WriteTimeout,
-        ClientClose::CloseTimeout,
-        ClientClose::Malformed,
+    pub const ALL: [ClientCloseReason; 10] = [
+        ClientCloseReason::ByClient,
+        ClientCloseReason::WithResponse,
+        ClientCloseReason::Evicted,
+        ClientCloseReason::Idle,
+        ClientCloseReason::Drained,
+        ClientCloseReason::Shutdown,
+        ClientCloseReason::RequestTimeout,
+        ClientCloseReason::WriteTimeout,
+        ClientCloseReason::CloseTimeout,
+        ClientCloseReason::Malformed,
     ];
 
     /// The name of the reason in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            ClientClose::ByClient => "by_client",
-            ClientClose::WithResponse => "with_answer",
-            ClientClose::Evicted => "evicted",
-            ClientClose::Idle => "idle",
-            ClientClose::Drained => "drained",
-            ClientClose::Shutdown => "shutdown",
-            ClientClose::RequestTimeout => "request_timeout",
-            ClientClose::WriteTimeout => "write_timeout",
-            ClientClose::CloseTimeout => "close_timeout",
-            ClientClose::Malformed => "malformed",
+            ClientCloseReason::ByClient => "by_client",
+            ClientCloseReason::WithResponse => "with_answer",
+            ClientCloseReason::Evicted => "evicted",
+            ClientCloseReason::Idle => "idle",
+            ClientCloseReason::Drained => "drained",
+            ClientCloseReason::Shutdown => "shutdown",
+            ClientCloseReason::RequestTimeout => "request_timeout",
+            ClientCloseReason::WriteTimeout => "write_timeout",
+            ClientCloseReason::CloseTimeout => "close_timeout",
+            ClientCloseReason::Malformed => "malformed",
         }
     }
 }
--- a/crates/proxy/src/frontend/client.rs
+++ b/crates/proxy/src/frontend/client.rs
@@ -14,7 +14,7 @@
 
 use super::REQUEST_TIMEOUT;
 use super::write_watchdog::WriteWatchdog;
-use crate::close_reason::ClientClose;
+use crate::close_reason::ClientCloseReason;
 use crate::socket::has_ended;
 
 /// The stage of a connection. The variants are in the order in which connections are evicted.
@@ -69,7 +69,7 @@
     /// Signals the connection's task to close the connection.
     close: Notify,
     /// Why the connection is closed, once that is known.
-    close_reason: Cell<Option<ClientClose>>,
+    close_reason: Cell<Option<ClientCloseReason>>,
 }
 
 /// The error of a request whose client disconnected before the response.
@@ -113,7 +113,7 @@
     }
 
     /// Signals the connection's task to close the connection for this reason.
-    pub(super) fn request_close(&self, reason: ClientClose) {
+    pub(super) fn request_close(&self, reason: ClientCloseReason) {
         self.record_close_reason(reason);
         self.close.notify_one();
     }
@@ -124,13 +124,13 @@
     }
 
     /// Records why the connection is closed, unless a reason has been recorded before.
-    pub(super) fn record_close_reason(&self, reason: ClientClose) {
+    pub(super) fn record_close_reason(&self, reason: ClientCloseReason) {
         self.close_reason.set(self.close_reason.get().or(Some(reason)));
     }
 
     /// The recorded reason for closing the connection, or `ByClient` if there is none.
-    pub(super) fn close_reason(&self) -> ClientClose {
-        self.close_reason.get().unwrap_or(ClientClose::ByClient)
+    pub(super) fn close_reason(&self) -> ClientCloseReason {
+        self.close_reason.get().unwrap_or(ClientCloseReason::ByClient)
     }
 
     /// Waits until the client has closed the connection or the connection has been reset.
--- a/crates/proxy/src/frontend/connection.rs
+++ b/crates/proxy/src/frontend/connection.rs
@@ -14,7 +14,7 @@
 use super::client_socket::ClientSocket;
 use super::linger::reject_incomplete;
 use super::{Frontend, MAX_HEAD_BYTES};
-use crate::close_reason::ClientClose;
+use crate::close_reason::ClientCloseReason;
 use crate::socket::{PeekResult, peek};
 
 /// Time after which a connection that is shutting down is closed at once, unless a request is in flight.
@@ -115,7 +115,7 @@
             ConnectionEvent::CloseRequested => self.begin_close(),
             ConnectionEvent::WriteTimedOut if self.write_watchdog.has_expired() => {
                 info!(client = %self.address, "client write timed out");
-                self.record_close_reason(ClientClose::WriteTimeout);
+                self.record_close_reason(ClientCloseReason::WriteTimeout);
                 NextStep::Close
             }
             ConnectionEvent::WriteTimedOut => NextStep::Serve,
@@ -123,19 +123,21 @@
                 NextStep::ExtendCloseTimeout
             }
             ConnectionEvent::CloseTimedOut => {
-                self.record_close_reason(ClientClose::CloseTimeout);
+                self.record_close_reason(ClientCloseReason::CloseTimeout);
                 NextStep::Close
             }
         }
     }
 
     /// Derives the close reason from the result with which hyper ended the connection.
-    fn end_reason(&self, result: &hyper::Result<()>) -> ClientClose {
+    fn end_reason(&self, result: &hyper::Result<()>) -> ClientCloseReason {
         match result {
-            Ok(()) if self.stage.get() != Stage::InFlight && self.read_closed.get() => ClientClose::ByClient,
-            Ok(()) => ClientClose::WithResponse,
-            Err(error) if error.is_parse() => ClientClose::Malformed,
-            Err(_) => ClientClose::ByClient,
+            Ok(()) if self.stage.get() != Stage::InFlight && self.read_closed.get() => {
+                ClientCloseReason::ByClient
+            }
+            Ok(()) => ClientCloseReason::WithResponse,
+            Err(error) if error.is_parse() => ClientCloseReason::Malformed,
+            Err(_) => ClientCloseReason::ByClient,
         }
     }
 
--- a/crates/proxy/src/frontend/connection_table.rs
+++ b/crates/proxy/src/frontend/connection_table.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::client::{Client, Stage};
-use crate::close_reason::ClientClose;
+use crate::close_reason::ClientCloseReason;
 
 /// Minimum time for which an idle connection stays open: clients may reuse a connection for 2 s.
 pub(super) const MIN_IDLE_TIME: Duration = Duration::from_millis(2050);
@@ -94,7 +94,7 @@
             let min_age = min_age(stage, policy);
             let Some(oldest) = connections.first_entry() else { continue };
             if oldest.get().stage_since.get().elapsed() >= min_age {
-                oldest.remove().request_close(ClientClose::Evicted);
+                oldest.remove().request_close(ClientCloseReason::Evicted);
                 return true;
             }
         }
@@ -102,7 +102,7 @@
     }
 
     /// Requests the close of all connections in a stage.
-    pub(super) fn close_all(&self, stage: Stage, reason: ClientClose) {
+    pub(super) fn close_all(&self, stage: Stage, reason: ClientCloseReason) {
         for client in self.evictable.borrow()[stage as usize].values() {
             client.request_close(reason);
         }
@@ -114,13 +114,13 @@
         for stage in [Stage::New, Stage::ReadingHead] {
             let clients = evictable[stage as usize].values();
             for client in clients.filter(|client| client.request_deadline.get() <= now) {
-                client.request_close(ClientClose::RequestTimeout);
+                client.request_close(ClientCloseReason::RequestTimeout);
             }
         }
     }
 
     /// Requests the close of all connections that have been idle for at least `max_idle_time`.
-    pub(super) fn close_idle(&self, now: Instant, max_idle_time: Duration, reason: ClientClose) {
+    pub(super) fn close_idle(&self, now: Instant, max_idle_time: Duration, reason: ClientCloseReason) {
         let evictable = self.evictable.borrow();
         let longest_idle_first = evictable[Stage::Idle as usize].values();
         for client in longest_idle_first.take_while(|client| now - client.stage_since.get() >= max_idle_time)
--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -53,7 +53,7 @@
 
 use crate::access_record::AccessSampler;
 use crate::classes::Classes;
-use crate::close_reason::ClientClose;
+use crate::close_reason::ClientCloseReason;
 use crate::inbox::Inbox;
 use crate::metrics::Metrics;
 use crate::open_ids::OpenRequestIds;
@@ -159,9 +159,9 @@
         let now = Instant::now();
         self.connections.close_overdue(now);
         if self.is_draining() {
-            self.connections.close_idle(now, MIN_IDLE_TIME, ClientClose::Drained);
+            self.connections.close_idle(now, MIN_IDLE_TIME, ClientCloseReason::Drained);
         } else {
-            self.connections.close_idle(now, MAX_IDLE_TIME, ClientClose::Idle);
+            self.connections.close_idle(now, MAX_IDLE_TIME, ClientCloseReason::Idle);
         }
     }
 
--- a/crates/proxy/src/frontend/shutdown.rs
+++ b/crates/proxy/src/frontend/shutdown.rs
@@ -9,7 +9,7 @@
 
 use super::Frontend;
 use super::client::Stage;
-use crate::close_reason::ClientClose;
+use crate::close_reason::ClientCloseReason;
 use crate::inbox::Input;
 
 /// Time after SIGTERM for which connections are accepted regardless of the accept queue. New connections still arrive
@@ -67,21 +67,21 @@
     async fn leave_to_successor(&self, listener: TcpListener) {
         drop(listener);
         sleep(HANDOVER_TIME).await;
-        self.connections.close_all(Stage::Idle, ClientClose::Shutdown);
-        self.connections.close_all(Stage::New, ClientClose::Shutdown);
+        self.connections.close_all(Stage::Idle, ClientCloseReason::Shutdown);
+        self.connections.close_all(Stage::New, ClientCloseReason::Shutdown);
     }
 
     /// Accepts connections for as long as the load balancer in front of the proxy may still open new ones.
     async fn accept_remaining(self: &Rc<Self>, listener: TcpListener) {
         // Idle connections close now: if a request crosses the close, the client can resend it on a new connection,
         // which is still accepted.
-        self.connections.close_all(Stage::Idle, ClientClose::Shutdown);
+        self.connections.close_all(Stage::Idle, ClientCloseReason::Shutdown);
         self.accept_until(&listener, Instant::now() + ACCEPT_TIME).await;
         // The time limit is for the case that connections never cease to arrive.
         self.accept_until_empty(&listener, Instant::now() + ACCEPT_TIME).await;
         drop(listener);
         sleep(FIRST_BYTE_TIME).await;
-        self.connections.close_all(Stage::New, ClientClose::Shutdown);
+        self.connections.close_all(Stage::New, ClientCloseReason::Shutdown);
     }
 
     async fn accept_until(self: &Rc<Self>, listener: &TcpListener, end: Instant) {
@@ -100,7 +100,7 @@
                 warn!(open = self.connections.in_flight(), "shutdown deadline passed with requests open");
                 return;
             }
-            self.connections.close_all(Stage::Idle, ClientClose::Shutdown); // their response has just been sent
+            self.connections.close_all(Stage::Idle, ClientCloseReason::Shutdown); // their response has just been sent
         }
     }
 }
--- a/crates/proxy/src/metrics/connections.rs
+++ b/crates/proxy/src/metrics/connections.rs
@@ -7,7 +7,7 @@
 use prometheus_client::registry::Registry;
 
 use super::labels::{BySide, register_by_label, register_by_reason};
-use crate::close_reason::{BackendClose, ClientClose};
+use crate::close_reason::{BackendClose, ClientCloseReason};
 
 /// Metrics of connections.
 pub struct ConnectionMetrics {
@@ -15,7 +15,7 @@
     pub opened: Counter,
     clients: Gauge<i64, AtomicI64>,
     upstreams: Gauge<i64, AtomicI64>,
-    clients_closed: [Counter; ClientClose::ALL.len()],
+    clients_closed: [Counter; ClientCloseReason::ALL.len()],
     upstreams_closed: [Counter; BackendClose::ALL.len()],
 }
 
@@ -31,7 +31,7 @@
             "Open connections",
             sides,
         );
-        let reasons = ClientClose::ALL.map(ClientClose::name);
+        let reasons = ClientCloseReason::ALL.map(ClientCloseReason::name);
         let help = "Closed connections of clients";
         let clients_closed = register_by_reason(registry, "client_connections_closed", help, reasons);
         let reasons = BackendClose::ALL.map(BackendClose::name);
@@ -47,7 +47,7 @@
     }
 
     /// Counts a closed connection of a client.
-    pub fn client_closed(&self, reason: ClientClose) {
+    pub fn client_closed(&self, reason: ClientCloseReason) {
         self.clients_closed[reason as usize].inc();
     }
 
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -22,7 +22,7 @@
 use tracing::error;
 
 use crate::cause::Cause;
-use crate::close_reason::{BackendClose, ClientClose};
+use crate::close_reason::{BackendClose, ClientCloseReason};
 use crate::denial::Denial;
 use attempts::AttemptMetrics;
 use connections::ConnectionMetrics;
@@ -119,7 +119,7 @@
     }
 
     /// Counts a closed connection of a client.
-    pub fn client_closed(&self, reason: ClientClose) {
+    pub fn client_closed(&self, reason: ClientCloseReason) {
         self.connections.client_closed(reason);
     }
 
