--- a/crates/proxy/src/close_reason.rs
+++ b/crates/proxy/src/close_reason.rs
@@ -59,7 +59,7 @@
 
 /// The reason for which a connection to a backend was closed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub enum BackendClose {
+pub enum BackendCloseReason {
     /// The attempt on the connection was abandoned, or broke off.
     #[default]
     AttemptEnded,
@@ -75,26 +75,26 @@
     OutOfService,
 }
 
-impl BackendClose {
+impl BackendCloseReason {
     /// All reasons.
-    pub const ALL: [BackendClose; 6] = [
-        BackendClose::AttemptEnded,
-        BackendClose::NotReusable,
-        BackendClose::Idle,
-        BackendClose::ByBackend,
-        BackendClose::Evicted,
-        BackendClose::OutOfService,
+    pub const ALL: [BackendCloseReason; 6] = [
+        BackendCloseReason::AttemptEnded,
+        BackendCloseReason::NotReusable,
+        BackendCloseReason::Idle,
+        BackendCloseReason::ByBackend,
+        BackendCloseReason::Evicted,
+        BackendCloseReason::OutOfService,
     ];
 
     /// The name of the reason in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            BackendClose::AttemptEnded => "attempt_ended",
-            BackendClose::NotReusable => "not_reusable",
-            BackendClose::Idle => "idle",
-            BackendClose::ByBackend => "by_backend",
-            BackendClose::Evicted => "evicted",
-            BackendClose::OutOfService => "out_of_service",
+            BackendCloseReason::AttemptEnded => "attempt_ended",
+            BackendCloseReason::NotReusable => "not_reusable",
+            BackendCloseReason::Idle => "idle",
+            BackendCloseReason::ByBackend => "by_backend",
+            BackendCloseReason::Evicted => "evicted",
+            BackendCloseReason::OutOfService => "out_of_service",
         }
     }
 }
--- a/crates/proxy/src/metrics/connections.rs
+++ b/crates/proxy/src/metrics/connections.rs
@@ -7,7 +7,7 @@
 use prometheus_client::registry::Registry;
 
 use super::labels::{BySide, register_by_label, register_by_reason};
-use crate::close_reason::{BackendClose, ClientCloseReason};
+use crate::close_reason::{BackendCloseReason, ClientCloseReason};
 
 /// Metrics of connections.
 pub struct ConnectionMetrics {
@@ -16,7 +16,7 @@
     clients: Gauge<i64, AtomicI64>,
     upstreams: Gauge<i64, AtomicI64>,
     clients_closed: [Counter; ClientCloseReason::ALL.len()],
-    upstreams_closed: [Counter; BackendClose::ALL.len()],
+    upstreams_closed: [Counter; BackendCloseReason::ALL.len()],
 }
 
 impl ConnectionMetrics {
@@ -34,7 +34,7 @@
         let reasons = ClientCloseReason::ALL.map(ClientCloseReason::name);
         let help = "Closed connections of clients";
         let clients_closed = register_by_reason(registry, "client_connections_closed", help, reasons);
-        let reasons = BackendClose::ALL.map(BackendClose::name);
+        let reasons = BackendCloseReason::ALL.map(BackendCloseReason::name);
         let help = "Closed connections to backends";
         let upstreams_closed = register_by_reason(registry, "backend_connections_closed", help, reasons);
         ConnectionMetrics { opened, clients, upstreams, clients_closed, upstreams_closed }
@@ -52,7 +52,7 @@
     }
 
     /// Counts a closed connection to an upstream.
-    pub fn upstream_closed(&self, reason: BackendClose) {
+    pub fn upstream_closed(&self, reason: BackendCloseReason) {
         self.upstreams_closed[reason as usize].inc();
     }
 }
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -22,7 +22,7 @@
 use tracing::error;
 
 use crate::cause::Cause;
-use crate::close_reason::{BackendClose, ClientCloseReason};
+use crate::close_reason::{BackendCloseReason, ClientCloseReason};
 use crate::denial::Denial;
 use attempts::AttemptMetrics;
 use connections::ConnectionMetrics;
@@ -124,7 +124,7 @@
     }
 
     /// Counts a closed connection to an upstream.
-    pub fn backend_closed(&self, reason: BackendClose) {
+    pub fn backend_closed(&self, reason: BackendCloseReason) {
         self.connections.upstream_closed(reason);
     }
 
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -14,7 +14,7 @@
 
 use super::request::MessageBody;
 use super::request_progress::RequestProgress;
-use crate::close_reason::BackendClose;
+use crate::close_reason::BackendCloseReason;
 use crate::socket::{PeekResult, half_close, peek, poll_read, poll_write};
 
 /// A connection to a backend; dropping it closes the socket.
@@ -32,7 +32,7 @@
     /// Whether no request has completed on this connection yet.
     pub(super) is_new: bool,
     /// The reason to count in the metrics when the connection is dropped.
-    pub(super) close_reason: Cell<BackendClose>,
+    pub(super) close_reason: Cell<BackendCloseReason>,
 }
 
 impl Drop for Connection {
--- a/crates/proxy/src/upstream/endpoint.rs
+++ b/crates/proxy/src/upstream/endpoint.rs
@@ -9,7 +9,7 @@
 
 use super::availability::Availability;
 use super::connection::Connection;
-use crate::close_reason::BackendClose;
+use crate::close_reason::BackendCloseReason;
 
 /// How long a released connection is not reused if the endpoint has another idle one. A backend that sends a second
 /// response to one request does so within this time.
@@ -48,7 +48,7 @@
     pub fn set_open(&self, open: bool) {
         self.availability.set_closed(!open);
         if !open {
-            self.close_idle_if(BackendClose::OutOfService, |_| true);
+            self.close_idle_if(BackendCloseReason::OutOfService, |_| true);
         }
     }
 
@@ -56,7 +56,7 @@
     pub fn set_in_maintenance(&self, in_maintenance: bool) {
         self.availability.set_in_maintenance(in_maintenance);
         if in_maintenance {
-            self.close_idle_if(BackendClose::OutOfService, |_| true);
+            self.close_idle_if(BackendCloseReason::OutOfService, |_| true);
         }
     }
 
@@ -71,7 +71,9 @@
     }
 
     /// Closes the idle connections for which `should_close` returns true, and records `reason` as the cause.
-    pub(super) fn close_idle_if(&self, reason: BackendClose, should_close: impl Fn(&IdleConnection) -> bool) {
+    pub(super) fn close_idle_if(
+        &self, reason: BackendCloseReason, should_close: impl Fn(&IdleConnection) -> bool,
+    ) {
         self.idle.borrow_mut().retain(|idle| {
             let is_closed = should_close(idle);
             if is_closed {
@@ -93,7 +95,7 @@
             return;
         }
         let evicted = connections.remove(0);
-        evicted.connection.close_reason.set(BackendClose::Evicted);
+        evicted.connection.close_reason.set(BackendCloseReason::Evicted);
     }
 
     /// Adds a connection to the idle ones, for a later request.
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -15,7 +15,7 @@
 use super::keep_alive::{KeepAlive, MIN_KEEP_ALIVE};
 use super::socket_budget::SocketBudget;
 use crate::body_memory::BodyMemory;
-use crate::close_reason::BackendClose;
+use crate::close_reason::BackendCloseReason;
 use crate::metrics::Metrics;
 
 /// An idle connection is closed after this fraction of the backend's own idle timeout, before the backend closes it.
@@ -96,8 +96,8 @@
         let now = Instant::now();
         let keep_alive = self.keep_alive.timeout();
         self.endpoints.borrow_mut().retain(|endpoint| {
-            endpoint.close_idle_if(BackendClose::Idle, |idle| now - idle.idle_since >= keep_alive);
-            endpoint.close_idle_if(BackendClose::ByBackend, |idle| !idle.connection.is_alive());
+            endpoint.close_idle_if(BackendCloseReason::Idle, |idle| now - idle.idle_since >= keep_alive);
+            endpoint.close_idle_if(BackendCloseReason::ByBackend, |idle| !idle.connection.is_alive());
             Rc::strong_count(endpoint) > 1
         });
     }
@@ -111,7 +111,7 @@
         }
         let now = Instant::now();
         for endpoint in self.endpoints.borrow().iter() {
-            endpoint.close_idle_if(BackendClose::Idle, |idle| now - idle.idle_since >= keep_alive);
+            endpoint.close_idle_if(BackendCloseReason::Idle, |idle| now - idle.idle_since >= keep_alive);
         }
     }
 
@@ -140,8 +140,8 @@
         while let Some(idle) = endpoint.take_idle() {
             let reason = match idle.idle_since.elapsed() < self.keep_alive.timeout() {
                 true if idle.connection.is_alive() => return Some(idle.connection),
-                true => BackendClose::ByBackend,
-                false => BackendClose::Idle,
+                true => BackendCloseReason::ByBackend,
+                false => BackendCloseReason::Idle,
             };
             idle.connection.close_reason.set(reason);
         }
@@ -173,7 +173,11 @@
             endpoint.put_idle(connection);
             return;
         }
-        let reason = if endpoint.is_open() { BackendClose::NotReusable } else { BackendClose::OutOfService };
+        let reason = if endpoint.is_open() {
+            BackendCloseReason::NotReusable
+        } else {
+            BackendCloseReason::OutOfService
+        };
         connection.close_reason.set(reason);
     }
 
--- a/crates/proxy/src/upstream/request_progress.rs
+++ b/crates/proxy/src/upstream/request_progress.rs
@@ -11,7 +11,7 @@
 use super::request_framing::RequestFraming;
 use super::request_state::RequestState;
 use super::response_progress::ResponseProgress;
-use crate::close_reason::BackendClose;
+use crate::close_reason::BackendCloseReason;
 use crate::metrics::Metrics;
 
 /// Tracks the bytes of a request as they are written to the socket, and denies writes if the request may not be sent.
@@ -58,7 +58,7 @@
     }
 
     /// Counts in the metrics that the connection was closed.
-    pub(super) fn count_closed_connection(&self, reason: BackendClose) {
+    pub(super) fn count_closed_connection(&self, reason: BackendCloseReason) {
         if let Some(metrics) = &self.metrics {
             metrics.backend_closed(reason);
         }
