--- a/crates/proxy/src/denial.rs
+++ b/crates/proxy/src/denial.rs
@@ -14,7 +14,7 @@
     /// The client has disconnected.
     ClientDisconnected,
     /// A backend may have processed an earlier attempt, and duplicates are no longer detected.
-    IdempotencyWindowOver,
+    IdempotencyWindowExpired,
 }
 
 impl Denial {
@@ -24,7 +24,7 @@
         Denial::OutOfService,
         Denial::RequestClosed,
         Denial::ClientDisconnected,
-        Denial::IdempotencyWindowOver,
+        Denial::IdempotencyWindowExpired,
     ];
 
     /// The name of the reason in metrics and logs.
@@ -34,7 +34,7 @@
             Denial::OutOfService => "out_of_service",
             Denial::RequestClosed => "request_closed",
             Denial::ClientDisconnected => "client_disconnected",
-            Denial::IdempotencyWindowOver => "repeat_window_over",
+            Denial::IdempotencyWindowExpired => "repeat_window_over",
         }
     }
 
@@ -44,7 +44,7 @@
             Denial::ListStale => Invariant::ListCurrent,
             Denial::OutOfService => Invariant::BackendInService,
             Denial::RequestClosed | Denial::ClientDisconnected => Invariant::RequestOpen,
-            Denial::IdempotencyWindowOver => Invariant::RepeatAllowed,
+            Denial::IdempotencyWindowExpired => Invariant::RepeatAllowed,
         }
     }
 }
--- a/crates/proxy/src/upstream/guard.rs
+++ b/crates/proxy/src/upstream/guard.rs
@@ -50,7 +50,7 @@
         } else if (self.request.client_disconnected)() {
             Some(Denial::ClientDisconnected)
         } else if self.start_by.is_some_and(|start_by| Instant::now() >= start_by) {
-            Some(Denial::IdempotencyWindowOver)
+            Some(Denial::IdempotencyWindowExpired)
         } else {
             None
         }
@@ -75,7 +75,7 @@
 fn is_violation(denial: Denial, was_paused: bool) -> bool {
     match denial {
         Denial::OutOfService | Denial::RequestClosed => true,
-        Denial::ListStale | Denial::IdempotencyWindowOver => was_paused,
+        Denial::ListStale | Denial::IdempotencyWindowExpired => was_paused,
         Denial::ClientDisconnected => false,
     }
 }
