--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -54,7 +54,7 @@
     fn announcement(&self) -> TimeoutAnnouncement {
         let write_time = self.arrived_at.saturating_duration_since(self.started_at);
         let timeout_ms = self.meta.timeout.as_secs_f64() * MILLIS_PER_SECOND;
-        if self.streamed || !self.meta.is_first_try {
+        if self.streamed || !self.meta.is_first_client_attempt {
             TimeoutAnnouncement::Individual
         } else if write_time < SLOW_WRITE_TIME {
             TimeoutAnnouncement::Typical(timeout_ms)
--- a/crates/proxy/src/head.rs
+++ b/crates/proxy/src/head.rs
@@ -31,7 +31,7 @@
     pub timeout: Duration,
     /// Whether the client is known to send the request for the first time. The timeout of a client's retry may be only
     /// what is left of the original one.
-    pub is_first_try: bool,
+    pub is_first_client_attempt: bool,
     /// Whether the request is rejected if another open request has the same id.
     pub requires_unique_id: bool,
     /// Whether `X-Forwarded-*` headers, and a generated id if the client sent none, are added to the request for the
--- a/crates/proxy/src/head/plain.rs
+++ b/crates/proxy/src/head/plain.rs
@@ -37,7 +37,7 @@
         affinity_key: affinity_key(uri),
         expected_cost: None,
         timeout: Duration::from_secs_f64(timeout_s),
-        is_first_try: false,
+        is_first_client_attempt: false,
         requires_unique_id: false,
         adds_forwarding_headers: true,
     })
--- a/crates/proxy/src/head/platform.rs
+++ b/crates/proxy/src/head/platform.rs
@@ -34,7 +34,7 @@
         affinity_key: affinity_key(uri),
         expected_cost,
         timeout,
-        is_first_try: headers.get("x-retried").is_none_or(|mark| mark != "1"),
+        is_first_client_attempt: headers.get("x-retried").is_none_or(|mark| mark != "1"),
         requires_unique_id: true,
         adds_forwarding_headers: false,
     })
