--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use anyhow::Context as _;
-use leadrelay_proxy::{Running, config};
+use leadrelay_proxy::{RunningProxy, config};
 use tokio::time::Instant;
 
 use crate::args::DemoArgs;
@@ -100,7 +100,7 @@
 }
 
 /// Shows what happens until the end.
-async fn watch(args: &DemoArgs, proxy: &Running, backends: &[Backend], load: &LoadGenerator) {
+async fn watch(args: &DemoArgs, proxy: &RunningProxy, backends: &[Backend], load: &LoadGenerator) {
     let is_terminal = std::io::stderr().is_terminal() && !args.json;
     let period = if is_terminal { TERMINAL_UPDATE_PERIOD } else { LINE_PERIOD };
     let start = Instant::now();
--- a/crates/cli/src/demo/summary.rs
+++ b/crates/cli/src/demo/summary.rs
@@ -5,7 +5,7 @@
 
 use comfy_table::Table;
 use comfy_table::presets::ASCII_MARKDOWN;
-use leadrelay_proxy::{Cause, Running};
+use leadrelay_proxy::{Cause, RunningProxy};
 use serde_json::{Map, Value, json};
 
 use super::backend::{Backend, BackendCounts, Machine};
@@ -29,7 +29,7 @@
 }
 
 impl Summary {
-    pub fn new(proxy: &Running, backends: &[Backend], load: &LoadGenerator) -> Self {
+    pub fn new(proxy: &RunningProxy, backends: &[Backend], load: &LoadGenerator) -> Self {
         let causes = Cause::ALL.map(|cause| (cause.name().to_owned(), proxy.metrics.ended(cause).into()));
         let decisions = proxy.metrics.decisions().map(|(name, count)| (name.to_owned(), count.into()));
         let backends = backends
--- a/crates/cli/src/demo/view.rs
+++ b/crates/cli/src/demo/view.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use indicatif::{MultiProgress, ProgressBar, ProgressStyle};
-use leadrelay_proxy::Running;
+use leadrelay_proxy::RunningProxy;
 
 use super::TERMINAL_UPDATE_PERIOD;
 use super::backend::{Backend, BackendCounts};
@@ -21,7 +21,7 @@
 }
 
 impl Snapshot {
-    pub fn take(proxy: &Running, backends: &[Backend], load: &LoadGenerator) -> Self {
+    pub fn take(proxy: &RunningProxy, backends: &[Backend], load: &LoadGenerator) -> Self {
         Snapshot {
             requests: load.counts(),
             backends: backends.iter().map(Backend::counts).collect(),
--- a/crates/proxy/benches/request.rs
+++ b/crates/proxy/benches/request.rs
@@ -8,7 +8,7 @@
 use std::thread;
 
 use criterion::{Criterion, criterion_group, criterion_main};
-use leadrelay_proxy::{Running, config, spawn};
+use leadrelay_proxy::{RunningProxy, config, spawn};
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::prelude::*;
 
@@ -68,7 +68,7 @@
     }
 }
 
-fn spawn_proxy(access_rate: f64) -> Running {
+fn spawn_proxy(access_rate: f64) -> RunningProxy {
     let backend = spawn_backend();
     let configuration = format!(
         "listen = \"127.0.0.1:0\"\n[[backends]]\naddress = \"{backend}\"\n[logging]\naccess = {access_rate}\n",
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -36,4 +36,4 @@
 pub use listed_endpoint::ListedEndpoint;
 pub use metrics::{Metrics, RequestTicket};
 pub use passed_socket::PassedSocketError;
-pub use server::{Addresses, Process, Running, spawn};
+pub use server::{Addresses, Process, RunningProxy, spawn};
--- a/crates/proxy/src/server/background.rs
+++ b/crates/proxy/src/server/background.rs
@@ -12,7 +12,7 @@
 use crate::metrics::Metrics;
 
 /// A proxy that runs on a thread of this process.
-pub struct Running {
+pub struct RunningProxy {
     /// The addresses on which the proxy listens.
     pub addresses: Addresses,
     /// The metrics of the proxy.
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// Returns an error in the cases of [`Process::serve`](super::Process::serve).
-pub fn spawn(config: Config) -> Result<Running, Error> {
+pub fn spawn(config: Config) -> Result<RunningProxy, Error> {
     let (stop, stopped) = oneshot::channel::<()>();
     let (ready, addresses) = std::sync::mpsc::channel();
     let metrics = Arc::<Metrics>::default();
@@ -40,7 +40,7 @@
     let thread = std::thread::Builder::new().name("proxy".into()).spawn(proxy);
     let thread = thread.map_err(Error::operating_system("cannot start the proxy thread"))?;
     match addresses.recv() {
-        Ok(addresses) => Ok(Running { addresses, metrics, stop, thread }),
+        Ok(addresses) => Ok(RunningProxy { addresses, metrics, stop, thread }),
         Err(_) => Err(join(thread).err().unwrap_or_else(|| DriverEnd::Start.into())),
     }
 }
@@ -49,7 +49,7 @@
     thread.join().unwrap_or_else(|_| Err(DriverEnd::Panic.into()))
 }
 
-impl Running {
+impl RunningProxy {
     /// Stops the proxy; returns once it has responded to all requests that it had accepted.
     ///
     /// # Errors
--- a/crates/proxy/src/server/mod.rs
+++ b/crates/proxy/src/server/mod.rs
@@ -11,6 +11,6 @@
 mod run;
 mod runtime;
 
-pub use background::{Running, spawn};
+pub use background::{RunningProxy, spawn};
 pub use process::Process;
 pub use run::Addresses;
