--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -109,7 +109,7 @@
     }
 
     /// Returns the names of the configured classes with the indices of their entries.
-    pub fn offered(&self) -> impl Iterator<Item = (&str, usize)> {
+    pub fn configured_classes(&self) -> impl Iterator<Item = (&str, usize)> {
         let entries = self.entries.iter().enumerate().filter(|(_, entry)| entry.is_configured);
         entries.map(|(index, entry)| (&*entry.name, index))
     }
@@ -147,7 +147,7 @@
         };
         let unchanged = self.entries.iter().filter(is_unchanged).count().min(settings.classes.len());
         let added = settings.classes.len() - unchanged;
-        let max_entries = MAX_FORMER_ENTRIES + self.offered().count() + settings.classes.len();
+        let max_entries = MAX_FORMER_ENTRIES + self.configured_classes().count() + settings.classes.len();
         let free = self.entries.iter().filter(|entry| entry.is_free()).count();
         self.entries.len() + added <= max_entries + free
     }
@@ -157,7 +157,7 @@
     fn replace_classes(&mut self, names: &Names, rules: &[RequestClass]) -> Vec<Option<usize>> {
         let mut inherits_from: Vec<Option<usize>> = (0..self.entries.len()).map(Some).collect();
         let previous: Vec<(Rc<str>, usize)> =
-            self.offered().map(|(name, index)| (name.into(), index)).collect();
+            self.configured_classes().map(|(name, index)| (name.into(), index)).collect();
         // The entry of a class that was configured until now is not reused, as another class may inherit its
         // statistics.
         let inheritable: FxHashSet<usize> = previous.iter().map(|(_, index)| *index).collect();
--- a/crates/proxy/src/classes/tests.rs
+++ b/crates/proxy/src/classes/tests.rs
@@ -58,7 +58,7 @@
         let class_list: Vec<(&str, f64)> = many.iter().map(|n| (n.as_str(), deadline)).collect();
         reconfigure(&mut classes, &class_list);
         assert_eq!(classes.find("c1023").expect("a configured class").rules.deadline, deadline);
-        assert!(classes.find("a").is_none() && classes.offered().count() == 1024);
+        assert!(classes.find("a").is_none() && classes.configured_classes().count() == 1024);
     }
     assert!(classes.entries.len() <= 2049, "{}", classes.entries.len());
 }
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -117,7 +117,7 @@
     classes: &'a Classes, machine_classes: &'a [String], clock: &Clock,
 ) -> ConversionContext<'a> {
     ConversionContext {
-        classes: classes.offered().collect(),
+        classes: classes.configured_classes().collect(),
         machine_classes,
         now: clock.to_millis(Instant::now()),
         wall_clock_offset: clock.wall_clock_offset(),
