--- a/crates/proxy/src/handover/file.rs
+++ b/crates/proxy/src/handover/file.rs
@@ -1,4 +1,4 @@
-//! The handover file on disk, which is read and replaced as a whole.
+//! Reading and writing of the handover file. Each write replaces the whole file by a rename.
 
 use std::cell::RefCell;
 use std::io;
@@ -10,12 +10,12 @@
 
 use super::schema::{SharedState, VERSION};
 
-/// How often a new process tries to read what its predecessor has left.
+/// How many times at most a new process attempts to read the handover file of its predecessor.
 const READ_ATTEMPTS: u32 = 20;
-/// Pause between these attempts.
+/// Pause between two attempts to read the handover file.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Identifies one revision of the file: a file that replaces another one differs in one of these.
+/// Identifies one revision of the handover file. Each replacement changes the inode or the modification time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Revision {
     inode: u64,
@@ -23,15 +23,15 @@
     modified_ns: i64,
 }
 
-/// The file, and the last state that was read from it or written to it.
+/// The handover file, with the last state that was read from it or written to it.
 pub struct HandoverFile {
     path: PathBuf,
-    /// The state that was last read or written. Used in place of a file that is missing or malformed.
+    /// The state that was last read or written, used while the file is missing or can't be parsed.
     last_state: RefCell<Option<SharedState>>,
 }
 
 impl HandoverFile {
-    /// The file at a path, which need not exist.
+    /// The handover file at `path`. The file need not exist yet.
     pub fn new(path: PathBuf) -> Self {
         HandoverFile { path, last_state: RefCell::default() }
     }
@@ -41,20 +41,21 @@
         &self.path
     }
 
-    /// The state in the file; `None` if it is missing or can't be used. An I/O error says nothing about its contents.
+    /// Reads the file. Returns `None` if the file is missing, malformed or of another version. After an I/O error its
+    /// contents are unknown.
     pub fn read(&self) -> io::Result<Option<SharedState>> {
-        let text = match std::fs::read(&self.path) {
+        let bytes = match std::fs::read(&self.path) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
             result => result?,
         };
-        let state = parse(&text);
+        let state = parse(&bytes);
         if let Some(state) = &state {
             self.last_state.replace(Some(state.clone()));
         }
         Ok(state)
     }
 
-    /// As [`Self::read`], with retries for a while if it fails.
+    /// Reads the file like [`Self::read`], with retries after I/O errors. Returns `None` if all attempts fail.
     pub fn read_with_retries(&self) -> Option<SharedState> {
         for _ in 1..READ_ATTEMPTS {
             match self.read() {
@@ -68,25 +69,26 @@
         })
     }
 
-    /// The state in the file, or the last one known if the file is missing or can't be used now.
+    /// The state in the file. While the file is missing or can't be parsed, this is the state that was last read or
+    /// written, or the default if there is none.
     pub fn read_or_last(&self) -> io::Result<SharedState> {
         let state = self.read()?.or_else(|| self.last_state.borrow().clone());
         Ok(state.unwrap_or_default())
     }
 
-    /// Replaces the file.
+    /// Replaces the file by one with this state.
     pub fn write(&self, state: &SharedState) -> io::Result<()> {
         let temporary = self.path.with_extension("new");
         std::fs::write(&temporary, serde_json::to_vec(state)?)?;
         std::fs::rename(&temporary, &self.path)
     }
 
-    /// Sets the state that is used in place of a file that is missing or malformed.
+    /// Sets the state that is used while the file is missing or can't be parsed.
     pub fn set_last_state(&self, state: SharedState) {
         self.last_state.replace(Some(state));
     }
 
-    /// The revision that is in place; `None` if there is no file.
+    /// The current revision of the file; `None` if its metadata can't be read.
     pub fn revision(&self) -> Option<Revision> {
         let metadata = std::fs::metadata(&self.path).ok()?;
         Some(Revision {
@@ -97,8 +99,8 @@
     }
 }
 
-fn parse(text: &[u8]) -> Option<SharedState> {
-    match serde_json::from_slice::<SharedState>(text) {
+fn parse(bytes: &[u8]) -> Option<SharedState> {
+    match serde_json::from_slice::<SharedState>(bytes) {
         Ok(state) if state.version == VERSION => Some(state),
         Ok(state) => {
             warn!(version = state.version, "handover file of another version ignored");
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -1,8 +1,8 @@
-//! An upgrade: two processes run beside each other as one proxy, on a listening socket that the platform holds. What one
-//! needs of the other is in one small file.
+//! Coordination of the processes of one proxy during an upgrade. Two processes run side by side on a listening socket
+//! that the platform keeps open, and share their state in one small file, the handover file.
 //!
-//! [`Handover`] is this process's state in an upgrade; `schema` is the form of the file, `file` reads and replaces it,
-//! `lock` keeps the processes from changing it at once, `pending` are operators' changes that wait to be written.
+//! [`Handover`] is the view of one process. `schema` defines the contents of the file, `file` reads and replaces the
+//! file, `lock` prevents concurrent changes to it, and `pending` queues operators' changes that are not written yet.
 
 mod file;
 mod lock;
@@ -22,13 +22,13 @@
 pub use schema::{ConversionContext, LearnedRecord, SharedState};
 use schema::{ProcessRecord, Stage, VERSION};
 
-/// Why the file has not been changed.
+/// Error: the handover file could not be updated.
 #[derive(Debug, thiserror::Error)]
 pub enum UpdateError {
-    /// The lock is not held.
+    /// The lock of the file could not be acquired or released.
     #[error(transparent)]
     Lock(#[from] LockError),
-    /// The file can't be read or replaced.
+    /// The file could not be read or replaced.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -39,25 +39,27 @@
     }
 }
 
-/// This process's part in an upgrade.
+/// The handover file as this process uses it, with what the file says about other processes.
 pub struct Handover {
     file: HandoverFile,
     lock: FileLock,
+    /// The stage of this process.
     stage: Cell<Stage>,
-    /// The revision of the file that this process has taken notice of.
+    /// The last revision of the file whose contents this process has taken into account.
     seen_revision: Cell<Option<Revision>>,
-    /// Whether another process starts or serves.
+    /// Whether another process of this proxy is starting or serving.
     has_overlap: Cell<bool>,
-    /// Whether this process is the latest one that serves.
+    /// Whether this process started last among those that serve.
     is_owner: Cell<bool>,
-    /// Whether the file lacks this process's stage.
+    /// Whether the current stage of this process may be missing from the file.
     is_stage_unwritten: Cell<bool>,
+    /// Operators' changes that are not written yet.
     pending: RefCell<PendingChanges>,
 }
 
 impl Handover {
-    /// Announces this process in the file of this proxy; returns what a predecessor has left. What can't be written now
-    /// is written later.
+    /// Opens the handover file of a proxy and announces this process in it. Returns the state that a predecessor has
+    /// left. An announcement that can't be written now is written with a later update.
     pub fn open(folder: &Path, proxy_name: &str) -> (Self, Option<SharedState>) {
         let is_plain = |character: char| character.is_ascii_alphanumeric();
         let name: String = proxy_name.chars().map(|c| if is_plain(c) { c } else { '-' }).collect();
@@ -81,21 +83,22 @@
         (handover, predecessor)
     }
 
-    /// Changes the file, unless the other process is changing it.
+    /// Applies a change to the file. Fails at once if another process holds the lock.
     pub fn update(&self, change: impl FnOnce(&mut SharedState)) -> Result<(), UpdateError> {
         self.is_stage_unwritten.set(true);
-        let written = self.lock.while_locked(|| self.replace(change))?;
+        let written = self.lock.with_lock(|| self.update_locked(change))?;
         self.is_stage_unwritten.set(written.is_err());
         Ok(written?)
     }
 
-    /// Writes a change by an operator, at once or a little later, and replies whether it is written.
+    /// Writes an operator's change to the file. While the file is locked, the change is kept for later attempts. The
+    /// reply says whether the change was written.
     pub fn record(&self, change: impl Fn(&mut SharedState) + 'static, reply: oneshot::Sender<bool>) {
         self.pending.borrow_mut().add(change, reply);
         self.write_pending();
     }
 
-    /// Writes what could not be written before: operators' changes and this process's stage.
+    /// Writes the operators' changes and the stage of this process, if any of them could not be written earlier.
     pub fn write_pending(&self) {
         let changes = self.pending.take();
         if changes.is_empty() && !self.is_stage_unwritten.get() {
@@ -103,20 +106,22 @@
         }
         let written = self.update(|state| changes.apply(state));
         if written.as_ref().is_err_and(UpdateError::is_locked) {
-            return self.keep_unless_overdue(changes);
+            return self.requeue_unless_overdue(changes);
         }
         if changes.is_empty() {
-            return; // whoever saves the learned state logs the error
+            return; // the next save of the learned state logs such an error
         }
         if let Err(error) = &written {
             warn!(%error, "handover file not written");
         }
-        // Read the file once more: what the other process wrote while these waited has undone them in this process.
+        // While these changes waited, this process may have read a file without them and reverted them. Without a seen
+        // revision, the next check reads the file again and applies them again.
         self.seen_revision.set(None);
         changes.reply(written.is_ok());
     }
 
-    fn keep_unless_overdue(&self, changes: PendingChanges) {
+    /// Puts the changes back into the queue, except those that have waited too long: these get the reply `false`.
+    fn requeue_unless_overdue(&self, changes: PendingChanges) {
         let (overdue, waiting) = changes.split_overdue();
         self.pending.replace(waiting);
         if !overdue.is_empty() {
@@ -125,95 +130,98 @@
         overdue.reply(false);
     }
 
-    fn replace(&self, change: impl FnOnce(&mut SharedState)) -> io::Result<()> {
-        // What the other process has written since this one read the file remains to be noticed.
-        let is_seen = self.file.revision() == self.seen_revision.get();
+    /// Reads, changes and replaces the file. The caller holds the lock.
+    fn update_locked(&self, change: impl FnOnce(&mut SharedState)) -> io::Result<()> {
+        // If another process has replaced the file since this process last read it, `read_if_replaced` still has to
+        // return its changes.
+        let is_up_to_date = self.file.revision() == self.seen_revision.get();
         let mut state = self.file.read_or_last()?;
         state.version = VERSION;
-        self.update_processes(&mut state.processes);
+        self.update_process_list(&mut state.processes);
         change(&mut state);
         self.file.write(&state)?;
-        self.seen_revision.set(if is_seen { self.file.revision() } else { None });
-        self.follow_processes(&state);
+        self.seen_revision.set(if is_up_to_date { self.file.revision() } else { None });
+        self.update_overlap(&state);
         self.file.set_last_state(state);
         Ok(())
     }
 
-    /// Removes the processes that have ended, and sets this one's stage.
-    fn update_processes(&self, processes: &mut Vec<ProcessRecord>) {
-        processes.retain(|process| is_own(process) || is_running(process));
+    /// Removes processes that have ended from the list, and sets the stage of this process.
+    fn update_process_list(&self, processes: &mut Vec<ProcessRecord>) {
+        processes.retain(|process| is_this_process(process) || is_running(process));
         let stage = self.stage.get();
-        match processes.iter_mut().find(|process| is_own(process)) {
-            Some(own) => own.stage = stage,
+        match processes.iter_mut().find(|process| is_this_process(process)) {
+            Some(this_process) => this_process.stage = stage,
             None => processes.push(ProcessRecord { pid: std::process::id(), stage }),
         }
     }
 
-    fn follow_processes(&self, state: &SharedState) {
-        let mut others = state.processes.iter().filter(|other| !is_own(other) && is_running(other));
+    /// Updates `has_overlap` and `is_owner` from the list of processes in the file.
+    fn update_overlap(&self, state: &SharedState) {
+        let mut others = state.processes.iter().filter(|other| !is_this_process(other) && is_running(other));
         self.has_overlap.set(others.any(|other| other.stage != Stage::Stopping));
         let mut latest_first = state.processes.iter().rev();
         let latest = latest_first.find(|process| process.stage == Stage::Serving && is_running(process));
-        self.is_owner.set(latest.is_some_and(is_own));
+        self.is_owner.set(latest.is_some_and(is_this_process));
     }
 
-    /// The state in the file, if another process has replaced it since the last call.
+    /// Returns the state in the file if another process has replaced the file since the last call.
     pub fn read_if_replaced(&self) -> Option<SharedState> {
         let revision = self.file.revision();
         if revision == self.seen_revision.get() {
             return None;
         }
-        let state = self.file.read().ok()?; // read again at the next call
+        let state = self.file.read().ok()?; // after an I/O error, the next call reads the file again
         self.seen_revision.set(revision);
         let state = state?;
-        self.follow_processes(&state);
+        self.update_overlap(&state);
         Some(state)
     }
 
-    /// Checks which processes still run: one that was killed does not say so in the file.
+    /// Checks which of the processes in the file still run, since a killed process leaves its entry there.
     pub fn check_processes(&self) {
         if let Ok(Some(state)) = self.file.read() {
-            self.follow_processes(&state);
+            self.update_overlap(&state);
         }
     }
 
-    /// Sets that this process serves, to be written with the next update. Returns whether that is new.
+    /// Sets the stage of a starting process to serving; the next update writes it. Returns whether the stage changed.
     pub fn set_serving(&self) -> bool {
-        let is_new = self.stage.get() == Stage::Starting;
-        if is_new {
+        let was_starting = self.stage.get() == Stage::Starting;
+        if was_starting {
             self.stage.set(Stage::Serving);
         }
-        is_new
+        was_starting
     }
 
-    /// Whether another process uses a part of what this proxy may use.
+    /// Whether another process of this proxy is starting or serving, and so uses a part of the proxy's resources.
     pub fn has_overlap(&self) -> bool {
         self.has_overlap.get()
     }
 
-    /// Whether this process is the one whose learned state the file holds.
+    /// Whether this process started last among those that serve. Only its learned state is saved in the file.
     pub fn is_owner(&self) -> bool {
         self.is_owner.get()
     }
 
-    /// Announces that this process stops. Returns whether a later one serves already.
+    /// Announces in the file that this process is stopping. Returns whether a process that started later is serving.
     pub fn announce_stop(&self) -> bool {
         self.stage.set(Stage::Stopping);
         if let Err(error) = self.update(|_| {}) {
             warn!(%error, "handover file not written");
         }
         let Ok(Some(state)) = self.file.read() else { return false };
-        let from_own = state.processes.iter().skip_while(|process| !is_own(process));
-        let mut later = from_own.skip(1);
+        let from_this_process = state.processes.iter().skip_while(|process| !is_this_process(process));
+        let mut later = from_this_process.skip(1);
         later.any(|process| process.stage == Stage::Serving && is_running(process))
     }
 }
 
-fn is_own(process: &ProcessRecord) -> bool {
+fn is_this_process(process: &ProcessRecord) -> bool {
     process.pid == std::process::id()
 }
 
-/// Whether a process runs a program. One that has ended and has not been waited for runs none.
+/// Whether a process is running. A zombie, which has ended but has not been waited for, has no `exe` link to read.
 fn is_running(process: &ProcessRecord) -> bool {
     std::fs::read_link(format!("/proc/{}/exe", process.pid)).is_ok()
 }
--- a/crates/proxy/src/metrics/connections.rs
+++ b/crates/proxy/src/metrics/connections.rs
@@ -1,4 +1,4 @@
-//! Metrics of connections.
+//! Metrics of the connections of clients and to upstreams.
 
 use std::sync::atomic::AtomicI64;
 
@@ -9,18 +9,22 @@
 use super::labels::{BySide, register_by_label, register_by_reason};
 use crate::close_reason::{BackendCloseReason, ClientCloseReason};
 
-/// Metrics of connections.
+/// Metrics of the connections of clients and to upstreams.
 pub struct ConnectionMetrics {
-    /// Connections opened to upstreams.
+    /// Connections opened to upstreams since the start of the process.
     pub opened: Counter,
+    /// Open connections of clients.
     clients: Gauge<i64, AtomicI64>,
+    /// Open connections to upstreams.
     upstreams: Gauge<i64, AtomicI64>,
+    /// Closed connections of clients, indexed by reason.
     clients_closed: [Counter; ClientCloseReason::ALL.len()],
+    /// Closed connections to upstreams, indexed by reason.
     upstreams_closed: [Counter; BackendCloseReason::ALL.len()],
 }
 
 impl ConnectionMetrics {
-    /// Registers them.
+    /// Registers these metrics.
     pub fn register(registry: &mut Registry) -> Self {
         let opened = Counter::default();
         registry.register("backend_dials", "Connections opened to backends", opened.clone());
@@ -40,7 +44,7 @@
         ConnectionMetrics { opened, clients, upstreams, clients_closed, upstreams_closed }
     }
 
-    /// Sets how many connections are open.
+    /// Sets the numbers of open connections of clients and to upstreams.
     pub fn set_open(&self, clients: usize, upstreams: usize) {
         self.clients.set(clients as i64);
         self.upstreams.set(upstreams as i64);
--- a/crates/proxy/src/metrics/dispatch.rs
+++ b/crates/proxy/src/metrics/dispatch.rs
@@ -1,4 +1,4 @@
-//! Metrics of the balancer's queue and its decisions.
+//! Metrics of the balancer's request queue and of its dispatch decisions.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
@@ -7,22 +7,27 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-use super::labels::{ByChoice, register_by_label};
+use super::labels::{ByDecision, register_by_label};
 
-/// Metrics of the queue and of decisions.
+/// Metrics of the balancer's request queue and of its dispatch decisions.
 pub struct DispatchMetrics {
+    /// Decisions of the two-speed threshold, indexed by decision.
     decisions: [Counter; ThresholdDecision::COUNT],
+    /// Requests in the proxy's queue.
     waiting: Gauge,
+    /// Requests with an attempt in flight.
     running: Gauge,
+    /// Retries that the retry budget allows.
     retry_budget: Gauge<f64, AtomicU64>,
 }
 
 impl DispatchMetrics {
-    /// Registers them.
+    /// Registers these metrics.
     pub fn register(registry: &mut Registry) -> Self {
-        let names = ThresholdDecision::ALL.map(ThresholdDecision::name);
+        let decision_names = ThresholdDecision::ALL.map(ThresholdDecision::name);
         let help = "What the two-speed threshold decided at each look at a waiting request";
-        let decisions = register_by_label::<ByChoice, Counter, _>(registry, "choices", help, names);
+        let decisions =
+            register_by_label::<ByDecision, Counter, _>(registry, "choices", help, decision_names);
         let waiting = Gauge::default();
         registry.register("requests_waiting", "Requests in the proxy's own queue", waiting.clone());
         let running = Gauge::default();
@@ -33,7 +38,7 @@
         DispatchMetrics { decisions, waiting, running, retry_budget }
     }
 
-    /// Sets the gauges, and the counters that the balancer keeps.
+    /// Sets the gauges and the decision counters to the values that the balancer reports.
     pub fn set(&self, gauges: &Gauges) {
         for (counter, decision) in self.decisions.iter().zip(ThresholdDecision::ALL) {
             counter.inner().store(gauges.decisions.count(decision), Relaxed);
@@ -43,12 +48,12 @@
         self.retry_budget.set(gauges.retry_budget);
     }
 
-    /// How often each decision was made, by its name.
+    /// The name of each decision, with how often the balancer has made it.
     pub fn decisions(&self) -> [(&'static str, u64); ThresholdDecision::COUNT] {
         ThresholdDecision::ALL.map(|decision| (decision.name(), self.decisions[decision as usize].get()))
     }
 
-    /// How many requests are queued.
+    /// The number of requests in the proxy's queue.
     pub fn waiting(&self) -> i64 {
         self.waiting.get()
     }
--- a/crates/proxy/src/metrics/invariants.rs
+++ b/crates/proxy/src/metrics/invariants.rs
@@ -9,16 +9,16 @@
 
 use super::labels::{ByInvariant, StaticLabel};
 
-/// Violations, by the layer that saw them.
+/// Counts of violated invariants, by the layer that detected the violation.
 pub struct InvariantMetrics {
-    /// Decisions of the balancer that were not carried out.
+    /// Decisions of the balancer that would have violated an invariant and were not carried out.
     decisions: [Counter; Invariant::COUNT],
-    /// What was seen at a socket.
+    /// Violations detected at a socket.
     sockets: [Counter; Invariant::COUNT],
 }
 
 impl InvariantMetrics {
-    /// Registers them.
+    /// Registers these metrics.
     pub fn register(registry: &mut Registry) -> Self {
         let violations = Family::<ByInvariant, Counter>::default();
         let help = "Violations of the proxy's own invariants, each a fault of the program, by the layer that saw them";
@@ -33,14 +33,14 @@
         InvariantMetrics { decisions: in_layer("decision"), sockets: in_layer("socket") }
     }
 
-    /// Sets the counters that the balancer keeps.
+    /// Sets the counters of the balancer's decisions to the values that the balancer reports.
     pub fn set(&self, gauges: &Gauges) {
         for (counter, invariant) in self.decisions.iter().zip(Invariant::ALL) {
             counter.inner().store(gauges.violations.count(invariant), Relaxed);
         }
     }
 
-    /// Counts a violation at a socket.
+    /// Counts a violation that was detected at a socket.
     pub fn violated(&self, invariant: Invariant) {
         self.sockets[invariant as usize].inc();
     }
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -1,7 +1,8 @@
-//! All metrics of a proxy. Any part records them, and any thread reads them without waiting for another.
+//! All metrics of a proxy. Every part of the proxy records them, and any thread can read them without waiting for
+//! another thread.
 //!
-//! Each module below registers the metrics of one subject. [`Metrics`] puts them together and writes them as OpenMetrics
-//! and as the operators' `/stats`.
+//! Each submodule registers the metrics of one subject. [`Metrics`] combines them and renders them as OpenMetrics text
+//! and as the JSON of the operators' `/stats`.
 
 mod attempts;
 mod connections;
@@ -33,10 +34,10 @@
 use requests::{ClassMetrics, RequestMetrics};
 pub use ticket::RequestTicket;
 
-/// Prefix of all names.
+/// Prefix of all metric names.
 const PREFIX: &str = "leadrelay";
 
-/// Counts from the start of the process, and present values.
+/// The metrics of a proxy: counters since the start of the process, and gauges of the current state.
 pub struct Metrics {
     registry: Registry,
     requests: RequestMetrics,
@@ -46,7 +47,7 @@
     dispatch: DispatchMetrics,
     invariants: InvariantMetrics,
     process: ProcessMetrics,
-    /// Whether the process can serve.
+    /// Whether the process is ready to serve requests.
     pub ready: AtomicBool,
 }
 
@@ -68,12 +69,12 @@
 }
 
 impl Metrics {
-    /// Shows a class before its first request has ended.
+    /// Registers the metrics of a request class, which are exported before the first request of the class has ended.
     pub fn show_class(&self, name: &str) {
         self.requests.class(name);
     }
 
-    /// Counts a request as pending whose last byte arrived at `arrived_at`.
+    /// Counts a request whose last byte arrived at `arrived_at` as pending, until the ticket ends.
     pub fn start_request(&self, class: &str, arrived_at: Instant) -> RequestTicket {
         RequestTicket::new(&self.requests, class, arrived_at)
     }
@@ -83,12 +84,12 @@
         self.requests.rejected(reason);
     }
 
-    /// Counts an attempt that has ended.
+    /// Counts an attempt that has ended. `latency` is recorded for served attempts only.
     pub fn attempt_ended(&self, outcome: Outcome, latency: Millis) {
         self.attempts.ended(outcome, latency);
     }
 
-    /// Counts an attempt whose request was written completely.
+    /// Counts an attempt whose request was written completely to the upstream.
     pub fn attempt_written(&self) {
         self.attempts.written.inc();
     }
@@ -98,7 +99,7 @@
         self.attempts.denied(denial);
     }
 
-    /// Counts a retry, by how the attempt before it ended.
+    /// Counts a retry by the outcome of the previous attempt.
     pub fn attempt_retried(&self, previous: Outcome) {
         self.attempts.retried(previous);
     }
@@ -108,12 +109,12 @@
         self.connections.opened.inc();
     }
 
-    /// How many connections have been opened to upstreams.
+    /// The number of connections opened to upstreams since the start of the process.
     pub fn upstream_connections_opened(&self) -> u64 {
         self.connections.opened.get()
     }
 
-    /// Sets how many connections are open.
+    /// Sets the numbers of open connections of clients and to upstreams.
     pub fn connected(&self, clients: usize, upstreams: usize) {
         self.connections.set_open(clients, upstreams);
     }
@@ -128,7 +129,7 @@
         self.connections.upstream_closed(reason);
     }
 
-    /// Counts and logs a violation of an invariant at a socket.
+    /// Counts and logs a violation of an invariant that was detected at a socket.
     pub fn violated(&self, invariant: Invariant, request: &str) {
         error!(invariant = invariant.name(), request, "an invariant is violated");
         self.invariants.violated(invariant);
@@ -144,36 +145,36 @@
         self.process.config_reload_errors.inc();
     }
 
-    /// Sets what the balancer reports.
+    /// Sets all metrics that the balancer reports.
     pub fn set_gauges(&self, gauges: &Gauges) {
         self.discovery.set(gauges);
         self.dispatch.set(gauges);
         self.invariants.set(gauges);
     }
 
-    /// How many requests have ended for a cause, over all classes.
+    /// The number of requests of all classes that have ended for a cause.
     pub fn ended(&self, cause: Cause) -> u64 {
         self.requests.classes().values().map(|class| class.ended(cause)).sum()
     }
 
-    /// How often each decision was made, by its name.
+    /// The name of each decision, with how often the balancer has made it.
     pub fn decisions(&self) -> [(&'static str, u64); ThresholdDecision::COUNT] {
         self.dispatch.decisions()
     }
 
-    /// How many requests are queued.
+    /// The number of requests in the proxy's queue.
     pub fn waiting(&self) -> i64 {
         self.dispatch.waiting()
     }
 
-    /// All metrics in the text form of OpenMetrics.
+    /// Renders all metrics in the OpenMetrics text format.
     pub fn openmetrics(&self) -> String {
         let mut text = String::new();
-        let _ = prometheus_client::encoding::text::encode(&mut text, &self.registry); // a string takes everything
+        let _ = prometheus_client::encoding::text::encode(&mut text, &self.registry); // writing to a string can't fail
         text
     }
 
-    /// The figures of `/stats`, under the names that the operators use.
+    /// The JSON of `/stats`, with the key names that operators use.
     pub fn stats(&self) -> Value {
         json!({
             "completed": self.ended_by_class("completed"),
@@ -181,17 +182,17 @@
             "failed": self.ended_by_class("failed"),
             "upstream_requests": self.attempts.written.get(),
             "pending": self.requests.pending.get(),
-            "members": self.discovery.listed(),
-            "members_unavailable": self.discovery.avoided(),
+            "members": self.discovery.listed_count(),
+            "members_unavailable": self.discovery.unavailable_count(),
             "config_reloads": self.process.config_reloads.get(),
             "config_reload_errors": self.process.config_reload_errors.get(),
         })
     }
 
-    /// Requests that have ended for the causes of one figure, by class.
-    fn ended_by_class(&self, figure: &str) -> Value {
+    /// For each class, the number of requests that have ended for a cause counted under one key of `/stats`.
+    fn ended_by_class(&self, stats_key: &str) -> Value {
         let ended = |class: &ClassMetrics| -> u64 {
-            let causes = Cause::ALL.into_iter().filter(|cause| cause.stats_key() == Some(figure));
+            let causes = Cause::ALL.into_iter().filter(|cause| cause.stats_key() == Some(stats_key));
             causes.map(|cause| class.ended(cause)).sum()
         };
         let classes = self.requests.classes();
--- a/crates/proxy/src/metrics/process.rs
+++ b/crates/proxy/src/metrics/process.rs
@@ -1,18 +1,18 @@
-//! Metrics of the process.
+//! Metrics of the reloads of the configuration file.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::registry::Registry;
 
-/// Metrics of configuration reloads.
+/// Metrics of the reloads of the configuration file.
 pub struct ProcessMetrics {
-    /// Configuration files that were applied.
+    /// Reloads that were applied.
     pub config_reloads: Counter,
-    /// Configuration files that could not be applied.
+    /// Reloads whose configuration file could not be applied.
     pub config_reload_errors: Counter,
 }
 
 impl ProcessMetrics {
-    /// Registers them.
+    /// Registers these metrics.
     pub fn register(registry: &mut Registry) -> Self {
         let config_reloads = Counter::default();
         registry.register("config_reloads", "Configuration files taken at SIGHUP", config_reloads.clone());
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! The counts of requests, and their two forms.
+//! Tests of the request counts, and of their two formats: OpenMetrics and `/stats`.
 
 use std::sync::Arc;
 
@@ -6,15 +6,16 @@
 
 use super::*;
 
+/// A ticket that ends or is dropped must lower the pending gauge and count exactly one cause.
 #[test]
 fn request_is_pending_until_it_ends_for_one_cause() {
     let metrics = Arc::new(Metrics::default());
     metrics.show_class("idle");
-    let take = || metrics.start_request("page", Instant::now());
-    let (served, left) = (take(), take());
+    let start = || metrics.start_request("page", Instant::now());
+    let (served, disconnected) = (start(), start());
     assert_eq!(metrics.stats()["pending"], 2);
     served.end(Cause::Served);
-    drop(left);
+    drop(disconnected);
     let stats = metrics.stats();
     assert_eq!(stats["pending"], 0);
     assert_eq!(stats["completed"], json!({"idle": 0, "page": 1}));
@@ -22,6 +23,7 @@
     assert_eq!((metrics.ended(Cause::Served), metrics.ended(Cause::ClientDisconnected)), (1, 1));
 }
 
+/// Counts each cause once and checks both formats, to find a cause or an endpoint status under a wrong name or key.
 #[test]
 fn openmetrics_and_stats_show_the_same_counts() {
     let metrics = Arc::new(Metrics::default());
@@ -52,13 +54,14 @@
     assert_eq!((&stats["rejected"]["page"], &stats["failed"]["page"]), (&json!(3), &json!(3)));
 }
 
-/// All lines of a text, sorted: the order of families, and of the samples of one, carries no meaning.
+/// The lines of a text in sorted order. The order of metric families and of the samples in a family has no meaning.
 fn sorted_lines(text: &str) -> Vec<&str> {
     let mut lines: Vec<&str> = text.lines().collect();
     lines.sort_unstable();
     lines
 }
 
+/// Operators use these names outside of the proxy, so each change to them must show as a difference from the record.
 #[test]
 fn names_types_help_texts_and_labels_are_as_recorded() {
     let metrics = Arc::new(Metrics::default());
--- a/crates/proxy/src/metrics/ticket.rs
+++ b/crates/proxy/src/metrics/ticket.rs
@@ -1,4 +1,4 @@
-//! The count of one request from its acceptance to its end.
+//! Counting of one request from its acceptance to its end.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,13 +10,18 @@
 use crate::access_record::AccessRecord;
 use crate::cause::Cause;
 
-/// Counts a request that has been accepted. It ends for one cause; dropped without one, its client has disconnected.
+/// Counts an accepted request as pending until it ends for one cause. A ticket that is dropped without a cause counts
+/// as a disconnect of the client.
 pub struct RequestTicket {
+    /// The gauge of pending requests.
     pending: Gauge,
+    /// The metrics of the class of the request.
     class: Arc<ClassMetrics>,
+    /// When the last byte of the request arrived.
     arrived_at: Instant,
-    /// The record for the access event; `None` if the request is not sampled.
+    /// The record for the access log; `None` if the request is not sampled.
     access_record: Option<Rc<AccessRecord>>,
+    /// Whether the end of the request has been counted.
     has_ended: bool,
 }
 
@@ -32,17 +37,17 @@
         }
     }
 
-    /// Keeps the record for the access event, which is written at the end.
+    /// Sets the record for the access log, which is logged when the request ends.
     pub fn set_access_record(&mut self, access_record: Option<Rc<AccessRecord>>) {
         self.access_record = access_record;
     }
 
-    /// Counts the end of the request.
+    /// Counts the end of the request for a cause.
     pub fn end(mut self, cause: Cause) {
-        self.count(cause);
+        self.count_end(cause);
     }
 
-    fn count(&mut self, cause: Cause) {
+    fn count_end(&mut self, cause: Cause) {
         self.has_ended = true;
         let elapsed = self.arrived_at.elapsed();
         self.class.request_ended(cause, elapsed);
@@ -55,7 +60,7 @@
 impl Drop for RequestTicket {
     fn drop(&mut self) {
         if !self.has_ended {
-            self.count(Cause::ClientDisconnected);
+            self.count_end(Cause::ClientDisconnected);
         }
         self.pending.dec();
     }
