--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -33,7 +33,7 @@
         let Some(handover) = self.parts.handover.clone() else { return };
         handover.check_processes();
         self.sync_with_handover_file();
-        if handover.is_owner() {
+        if handover.is_latest_serving() {
             self.save();
         }
     }
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -50,7 +50,7 @@
     /// Whether another process of this proxy is starting or serving.
     has_overlap: Cell<bool>,
     /// Whether this process started last among those that serve.
-    is_owner: Cell<bool>,
+    is_latest_serving: Cell<bool>,
     /// Whether the current stage of this process may be missing from the file.
     is_stage_unwritten: Cell<bool>,
     /// Operators' changes that are not written yet.
@@ -69,7 +69,7 @@
             stage: Cell::new(Stage::Starting),
             seen_revision: Cell::new(None),
             has_overlap: Cell::new(false),
-            is_owner: Cell::new(false),
+            is_latest_serving: Cell::new(false),
             is_stage_unwritten: Cell::new(true),
             pending: RefCell::default(),
         };
@@ -156,13 +156,13 @@
         }
     }
 
-    /// Updates `has_overlap` and `is_owner` from the list of processes in the file.
+    /// Updates `has_overlap` and `is_latest_serving` from the list of processes in the file.
     fn update_overlap(&self, state: &SharedState) {
         let mut others = state.processes.iter().filter(|other| !is_this_process(other) && is_running(other));
         self.has_overlap.set(others.any(|other| other.stage != Stage::Stopping));
         let mut latest_first = state.processes.iter().rev();
         let latest = latest_first.find(|process| process.stage == Stage::Serving && is_running(process));
-        self.is_owner.set(latest.is_some_and(is_this_process));
+        self.is_latest_serving.set(latest.is_some_and(is_this_process));
     }
 
     /// Returns the state in the file if another process has replaced the file since the last call.
@@ -200,8 +200,8 @@
     }
 
     /// Whether this process started last among those that serve. Only its learned state is saved in the file.
-    pub fn is_owner(&self) -> bool {
-        self.is_owner.get()
+    pub fn is_latest_serving(&self) -> bool {
+        self.is_latest_serving.get()
     }
 
     /// Announces in the file that this process is stopping. Returns whether a process that started later is serving.
--- a/crates/proxy/src/handover/tests.rs
+++ b/crates/proxy/src/handover/tests.rs
@@ -66,14 +66,14 @@
     let other_process = ProcessRecord { pid: child.id(), stage: Stage::Serving };
     handover.update(|state| state.processes.push(other_process)).expect("the file can be written");
     handover.check_processes();
-    assert!(handover.has_overlap() && !handover.is_owner());
+    assert!(handover.has_overlap() && !handover.is_latest_serving());
     child.kill().expect("the child process runs");
     child.wait().expect("the child process ends");
     handover.check_processes();
     assert!(!handover.has_overlap());
     assert!(handover.set_serving());
     handover.update(|_| {}).expect("the file can be written");
-    assert!(handover.is_owner() && !handover.announce_stop());
+    assert!(handover.is_latest_serving() && !handover.announce_stop());
     std::fs::remove_dir_all(folder).expect("the folder can be removed");
 }
 
