--- a/crates/proxy/src/driver/open_requests.rs
+++ b/crates/proxy/src/driver/open_requests.rs
@@ -213,7 +213,7 @@
         open.state.set(state);
         let response_sender = open.response_sender.take();
         if response_sender.is_some() && open.is_late() && !(open.message.client_disconnected)() {
-            self.parts.metrics.violated(Invariant::AnsweredInTime, open.message.request_id());
+            self.parts.metrics.invariant_violated(Invariant::AnsweredInTime, open.message.request_id());
         }
         self.remove_if_ended(id);
         response_sender
--- a/crates/proxy/src/frontend/cancellation.rs
+++ b/crates/proxy/src/frontend/cancellation.rs
@@ -44,7 +44,7 @@
         }
         self.frontend.inbox.put(Input::ClientDisconnected(self.id));
         if !self.client.has_disconnected() {
-            self.frontend.metrics.violated(Invariant::AnsweredBeforeClose, &self.client_request_id);
+            self.frontend.metrics.invariant_violated(Invariant::AnsweredBeforeClose, &self.client_request_id);
         }
     }
 }
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -130,7 +130,7 @@
     }
 
     /// Counts and logs a violation of an invariant that was detected at a socket.
-    pub fn violated(&self, invariant: Invariant, request: &str) {
+    pub fn invariant_violated(&self, invariant: Invariant, request: &str) {
         error!(invariant = invariant.name(), request, "an invariant is violated");
         self.invariants.violated(invariant);
     }
--- a/crates/proxy/src/upstream/request_progress.rs
+++ b/crates/proxy/src/upstream/request_progress.rs
@@ -149,7 +149,7 @@
         let Some(metrics) = &self.metrics else { return };
         let request = guard.request.request_id();
         for invariant in guard.violations() {
-            metrics.violated(invariant, request);
+            metrics.invariant_violated(invariant, request);
         }
     }
 
