--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -95,7 +95,7 @@
     }
 
     /// Counts an attempt that was denied before its first byte was written.
-    pub fn denied(&self, denial: Denial) {
+    pub fn attempt_denied(&self, denial: Denial) {
         self.attempts.denied(denial);
     }
 
--- a/crates/proxy/src/upstream/request_progress.rs
+++ b/crates/proxy/src/upstream/request_progress.rs
@@ -115,7 +115,7 @@
         let Some(denial) = guard.denial() else { return true };
         debug!(request = guard.request.request_id(), reason = denial.name(), "attempt denied");
         if let Some(metrics) = &self.metrics {
-            metrics.denied(denial);
+            metrics.attempt_denied(denial);
         }
         false
     }
