--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -155,7 +155,7 @@
 
     /// Updates the connection metrics and requests the close of all connections whose timeout has passed.
     fn close_expired(&self) {
-        self.metrics.connected(self.connections.open(), self.upstreams.sockets_in_use());
+        self.metrics.set_open_connections(self.connections.open(), self.upstreams.sockets_in_use());
         let now = Instant::now();
         self.connections.close_overdue(now);
         if self.is_draining() {
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -115,7 +115,7 @@
     }
 
     /// Sets the numbers of open connections of clients and to upstreams.
-    pub fn connected(&self, clients: usize, upstreams: usize) {
+    pub fn set_open_connections(&self, clients: usize, upstreams: usize) {
         self.connections.set_open(clients, upstreams);
     }
 
