--- a/crates/cli/src/demo/summary.rs
+++ b/crates/cli/src/demo/summary.rs
@@ -30,7 +30,8 @@
 
 impl Summary {
     pub fn new(proxy: &RunningProxy, backends: &[Backend], load: &LoadGenerator) -> Self {
-        let causes = Cause::ALL.map(|cause| (cause.name().to_owned(), proxy.metrics.ended(cause).into()));
+        let causes =
+            Cause::ALL.map(|cause| (cause.name().to_owned(), proxy.metrics.requests_ended(cause).into()));
         let decisions = proxy.metrics.decisions().map(|(name, count)| (name.to_owned(), count.into()));
         let backends = backends
             .iter()
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -153,7 +153,7 @@
     }
 
     /// The number of requests of all classes that have ended for a cause.
-    pub fn ended(&self, cause: Cause) -> u64 {
+    pub fn requests_ended(&self, cause: Cause) -> u64 {
         self.requests.classes().values().map(|class| class.ended(cause)).sum()
     }
 
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -20,7 +20,10 @@
     assert_eq!(stats["pending"], 0);
     assert_eq!(stats["completed"], json!({"idle": 0, "page": 1}));
     assert_eq!((&stats["rejected"]["page"], &stats["failed"]["page"]), (&json!(0), &json!(0)));
-    assert_eq!((metrics.ended(Cause::Served), metrics.ended(Cause::ClientDisconnected)), (1, 1));
+    assert_eq!(
+        (metrics.requests_ended(Cause::Served), metrics.requests_ended(Cause::ClientDisconnected)),
+        (1, 1)
+    );
 }
 
 /// Counts each cause once and checks both formats, to find a cause or an endpoint status under a wrong name or key.
