--- a/crates/cli/src/demo/view.rs
+++ b/crates/cli/src/demo/view.rs
@@ -26,7 +26,7 @@
             requests: load.counts(),
             backends: backends.iter().map(Backend::counts).collect(),
             decisions: proxy.metrics.decisions(),
-            waiting: proxy.metrics.waiting(),
+            waiting: proxy.metrics.requests_waiting(),
             p50_ms: load.latency_quantile_ms(0.5),
             p99_ms: load.latency_quantile_ms(0.99),
         }
--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -163,7 +163,7 @@
     }
 
     /// The number of requests in the proxy's queue.
-    pub fn waiting(&self) -> i64 {
+    pub fn requests_waiting(&self) -> i64 {
         self.dispatch.waiting()
     }
 
