--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -125,7 +125,7 @@
     }
 
     /// Counts a closed connection to an upstream.
-    pub fn backend_closed(&self, reason: BackendCloseReason) {
+    pub fn upstream_closed(&self, reason: BackendCloseReason) {
         self.connections.upstream_closed(reason);
     }
 
--- a/crates/proxy/src/upstream/request_progress.rs
+++ b/crates/proxy/src/upstream/request_progress.rs
@@ -60,7 +60,7 @@
     /// Counts in the metrics that the connection was closed.
     pub(super) fn count_closed_connection(&self, reason: BackendCloseReason) {
         if let Some(metrics) = &self.metrics {
-            metrics.backend_closed(reason);
+            metrics.upstream_closed(reason);
         }
     }
 
