--- a/crates/proxy/src/metrics/mod.rs
+++ b/crates/proxy/src/metrics/mod.rs
@@ -70,7 +70,7 @@
 
 impl Metrics {
     /// Registers the metrics of a request class, which are exported before the first request of the class has ended.
-    pub fn show_class(&self, name: &str) {
+    pub fn register_class(&self, name: &str) {
         self.requests.class(name);
     }
 
--- a/crates/proxy/src/metrics/tests.rs
+++ b/crates/proxy/src/metrics/tests.rs
@@ -10,7 +10,7 @@
 #[test]
 fn request_is_pending_until_it_ends_for_one_cause() {
     let metrics = Arc::new(Metrics::default());
-    metrics.show_class("idle");
+    metrics.register_class("idle");
     let start = || metrics.start_request("page", Instant::now());
     let (served, disconnected) = (start(), start());
     assert_eq!(metrics.stats()["pending"], 2);
@@ -68,7 +68,7 @@
 #[test]
 fn names_types_help_texts_and_labels_are_as_recorded() {
     let metrics = Arc::new(Metrics::default());
-    metrics.show_class("page");
+    metrics.register_class("page");
     let text = metrics.openmetrics();
     assert!(text.ends_with("# EOF\n"));
     assert_eq!(sorted_lines(&text), include_str!("tests/openmetrics.txt").lines().collect::<Vec<_>>());
--- a/crates/proxy/src/server/reload.rs
+++ b/crates/proxy/src/server/reload.rs
@@ -77,7 +77,7 @@
         let balancer = classes.reconfigure(&new.names, new.settings.clone(), &new.dialect)?;
         drop(classes);
         for class in &new.names.classes {
-            self.metrics.show_class(class);
+            self.metrics.register_class(class);
         }
         self.access_rate.set(new.logging.access);
         // The driver must receive the new settings before any request whose head is read with the new classes.
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -104,7 +104,7 @@
     // `run` keeps a sender, so that the driver's receiver stays open if there is no admin address.
     let admin = start_admin(admin, command_sender.clone(), &metrics)?; // the last step of the start that can fail
     for class in &config.names.classes {
-        metrics.show_class(class);
+        metrics.register_class(class);
     }
     let shared = Shared::new(&config, inbox, metrics);
     let (address_sender, discovery_address) = discovery_channel(&config.source).unzip();
