--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -59,7 +59,7 @@
         &self, reply: oneshot::Sender<bool>, change: impl Fn(&mut SharedState) + 'static,
     ) {
         match &self.parts.handover {
-            Some(handover) => handover.record(change, reply),
+            Some(handover) => handover.record_change(change, reply),
             None => drop(reply.send(true)), // the caller may have disconnected
         }
     }
--- a/crates/proxy/src/handover/mod.rs
+++ b/crates/proxy/src/handover/mod.rs
@@ -93,7 +93,7 @@
 
     /// Writes an operator's change to the file. While the file is locked, the change is kept for later attempts. The
     /// reply says whether the change was written.
-    pub fn record(&self, change: impl Fn(&mut SharedState) + 'static, reply: oneshot::Sender<bool>) {
+    pub fn record_change(&self, change: impl Fn(&mut SharedState) + 'static, reply: oneshot::Sender<bool>) {
         self.pending.borrow_mut().add(change, reply);
         self.write_pending();
     }
