--- a/crates/proxy/src/config/check.rs
+++ b/crates/proxy/src/config/check.rs
@@ -1,33 +1,34 @@
-//! Checks a file against the schema, and reports in words what does not fit.
+//! Checks a configuration file against the JSON schema and reports each mismatch as a readable message.
 //!
-//! `schemars` makes the schema from our own types, so it uses only the part of JSON Schema that is read here; a test
-//! fails on a keyword that is not.
+//! `schemars` generates the schema from the types in `file::schema`, so only the JSON Schema keywords that they produce
+//! are implemented here. A test fails if the schema contains any other keyword.
 
 use serde_json::{Map, Value};
 
-use super::fault::{Fault, Text};
+use super::fault::{Fault, SourceText};
 use super::values::TextFormat;
 
-/// How similar a key must be to be suggested in place of an unknown one (Jaro-Winkler similarity, 0 to 1).
+/// Minimum Jaro-Winkler similarity (0 to 1) at which a known key is suggested in place of an unknown one.
 const MIN_SIMILARITY: f64 = 0.75;
 
-/// All faults of a value by the schema, each at its place in the text.
+/// Validates a value against the schema and returns all faults, each with its position in the text.
 pub(super) fn against_schema(
-    schema: &Value, formats: &[TextFormat], text: &Text, value: &Value,
+    schema: &Value, formats: &[TextFormat], text: &SourceText, value: &Value,
 ) -> Vec<Fault> {
-    let mut check = Check { schema, formats, text, faults: Vec::new() };
+    let mut check = SchemaCheck { schema, formats, text, faults: Vec::new() };
     check.value(schema, value, "");
     check.faults
 }
 
-struct Check<'a> {
+/// A validation in progress.
+struct SchemaCheck<'a> {
     schema: &'a Value,
     formats: &'a [TextFormat],
-    text: &'a Text<'a>,
+    text: &'a SourceText<'a>,
     faults: Vec<Fault>,
 }
 
-impl<'a> Check<'a> {
+impl<'a> SchemaCheck<'a> {
     fn fault(&mut self, pointer: &str, message: impl Into<String>) {
         self.faults.push(self.text.at(pointer, message));
     }
@@ -78,7 +79,7 @@
         } else if number(value) > number(max) {
             self.fault(pointer, format!("{name} is {value}, and has to be {max} or less"));
         } else if !number(value).is_finite() {
-            self.fault(pointer, format!("{name} is no finite number"));
+            self.fault(pointer, format!("{name} is not a finite number"));
         }
     }
 
@@ -89,7 +90,7 @@
         }
         let max = &part["maxItems"];
         if max.as_u64().is_some_and(|max| length > max as usize) {
-            self.fault(pointer, format!("{name} holds {length}, and may hold {max}"));
+            self.fault(pointer, format!("{name} has {length} items, and has to have {max} or fewer"));
         }
         for (index, item) in items.iter().enumerate() {
             self.value(&part["items"], item, &format!("{pointer}/{index}"));
@@ -115,7 +116,7 @@
     }
 }
 
-/// What messages call the value at a JSON pointer: its key, or that of the list in which it is.
+/// The name that messages use for the value at a JSON pointer: its key in quotes, or the key of the list that holds it.
 fn name_at(pointer: &str) -> String {
     let key = pointer.rsplit('/').find(|part| part.parse::<usize>().is_err());
     match key {
@@ -124,23 +125,24 @@
     }
 }
 
-/// The types that a value may have, apart from null; none if it is free.
+/// The types that the schema allows for a value, apart from null; empty if it allows any.
 fn types(part: &Value) -> Vec<&str> {
     match &part["type"] {
         Value::Array(types) => {
             types.iter().filter_map(Value::as_str).filter(|name| *name != "null").collect()
         }
-        one => one.as_str().into_iter().collect(),
+        single => single.as_str().into_iter().collect(),
     }
 }
 
-/// The values that a key may have; none if it is free.
+/// The values that the schema enumerates for a key; empty if it enumerates none.
 pub(super) fn choices(part: &Value) -> Vec<&Value> {
     let listed = part["enum"].as_array().into_iter().flatten();
     let described = part["oneOf"].as_array().into_iter().flatten();
     listed.chain(described.filter_map(|choice| choice.get("const"))).collect()
 }
 
+/// The message for an unknown key: it suggests the most similar known key, or lists all of them.
 fn unknown_key(key: &str, known: &[&str]) -> String {
     let similarity = |name: &&&str| strsim::jaro_winkler(key, name);
     match known.iter().max_by(|a, b| similarity(a).total_cmp(&similarity(b))) {
@@ -151,7 +153,7 @@
     }
 }
 
-/// A part of the schema without the references and choices around it. What is optional is a choice of itself or null.
+/// Follows references (`$ref`) and optional values (`anyOf` of the value's schema and null) to the schema of the value.
 pub(super) fn resolved<'a>(schema: &'a Value, mut part: &'a Value) -> &'a Value {
     loop {
         if let Some(name) = part["$ref"].as_str() {
@@ -175,7 +177,7 @@
     }
 }
 
-/// A type of the schema, in words.
+/// Describes a type of the schema in words.
 fn describe_type(name: &str) -> &'static str {
     match name {
         "array" => "a list",
@@ -187,7 +189,7 @@
     }
 }
 
-/// A value's type, in words.
+/// Describes the type of a value in words. Null stands for a number that the parser could not represent.
 fn describe(value: &Value) -> &'static str {
     match value {
         Value::Null => "a number out of range",
--- a/crates/proxy/src/config/check/tests.rs
+++ b/crates/proxy/src/config/check/tests.rs
@@ -1,11 +1,12 @@
-//! The keywords of the schema.
+//! Tests that the validator implements every keyword of the schema.
 
 use super::*;
 use crate::config::file::SCHEMA;
 
+/// An upgrade of `schemars` or a new attribute may bring in a keyword that the validator would silently ignore.
 #[test]
-fn the_schema_uses_only_what_is_read_here() {
-    const READ: [&str; 17] = [
+fn schema_uses_only_supported_keywords() {
+    const SUPPORTED: [&str; 17] = [
         "$ref",
         "anyOf",
         "const",
@@ -24,19 +25,20 @@
         "additionalProperties",
         "default",
     ];
-    const WORDS: [&str; 4] = ["$schema", "description", "title", "$defs"];
-    fn walk(part: &Value, named: bool) {
+    const ANNOTATIONS: [&str; 4] = ["$schema", "description", "title", "$defs"];
+    // `is_name_map`: the object's keys are names of keys or definitions, not keywords.
+    fn walk(part: &Value, is_name_map: bool) {
         match part {
-            Value::Object(all) => {
-                for (key, below) in all {
-                    let known = READ.contains(&key.as_str()) || WORDS.contains(&key.as_str());
-                    assert!(named || known, "{key} is not read");
-                    if key != "default" || named {
-                        walk(below, !named && (key == "properties" || key == "$defs"));
+            Value::Object(entries) => {
+                for (key, child) in entries {
+                    let is_known = SUPPORTED.contains(&key.as_str()) || ANNOTATIONS.contains(&key.as_str());
+                    assert!(is_name_map || is_known, "the validator does not support the keyword {key}");
+                    if key != "default" || is_name_map {
+                        walk(child, !is_name_map && (key == "properties" || key == "$defs"));
                     }
                 }
             }
-            Value::Array(all) => all.iter().for_each(|below| walk(below, false)),
+            Value::Array(items) => items.iter().for_each(|item| walk(item, false)),
             _ => {}
         }
     }
--- a/crates/proxy/src/config/explain.rs
+++ b/crates/proxy/src/config/explain.rs
@@ -1,4 +1,5 @@
-//! The meaning of the configuration's keys, from the schema: for `config explain` and for the reference page.
+//! Descriptions of the configuration keys, generated from the schema: the text of `leadrelay config explain` and the
+//! reference page.
 
 use std::fmt::Write as _;
 
@@ -8,18 +9,18 @@
 use super::file::SCHEMA;
 use super::values::FORMATS;
 
-/// A key.
+/// A key of the configuration file.
 struct Key<'a> {
-    /// Its full path: `classes[].deadline`.
+    /// The full path, such as `classes[].deadline`.
     path: String,
-    /// Its part of the schema.
+    /// The schema of the key's value.
     part: &'a Value,
     is_required: bool,
-    /// How many tables it is in.
+    /// Number of tables that enclose the key.
     depth: usize,
 }
 
-/// All keys in alphabetic order, those of a table itself before the tables in it.
+/// All keys in alphabetical order; within a table, plain keys come before nested tables.
 fn keys() -> Vec<Key<'static>> {
     let mut keys = Vec::new();
     collect_keys(&SCHEMA, "", 0, &mut keys);
@@ -44,14 +45,14 @@
     }
 }
 
-/// The table that is a key's value, or an item of its list.
+/// The schema of the table that is the key's value or, for a list of tables, an item of the list.
 fn inner_table(part: &'static Value) -> Option<&'static Value> {
     let part = resolved(&SCHEMA, part);
     let part = if part["items"].is_null() { part } else { resolved(&SCHEMA, &part["items"]) };
     part["properties"].is_object().then_some(part)
 }
 
-/// The type of a key's value, in words.
+/// Describes the type of a key's value in words.
 fn type_of(part: &'static Value) -> String {
     let part = resolved(&SCHEMA, part);
     let format = part["format"].as_str();
@@ -64,7 +65,7 @@
     }
     let name = match &part["type"] {
         Value::Array(types) => types.iter().filter_map(Value::as_str).find(|name| *name != "null"),
-        one => one.as_str(),
+        single => single.as_str(),
     };
     match name.unwrap_or_default() {
         "array" => match inner_table(part) {
@@ -79,57 +80,58 @@
     }
 }
 
-/// The bounds of a number, in words.
+/// Describes the bounds of a number in words; empty if there are none.
 fn range(part: &Value) -> String {
     match (&part["minimum"], &part["maximum"]) {
         (Value::Null, Value::Null) => String::new(),
-        (low, Value::Null) => format!(", {low} or more"),
-        (Value::Null, high) => format!(", {high} or less"),
-        (low, high) => format!(", {low} to {high}"),
+        (min, Value::Null) => format!(", {min} or more"),
+        (Value::Null, max) => format!(", {max} or less"),
+        (min, max) => format!(", {min} to {max}"),
     }
 }
 
-/// The value of a key that is left out, in words.
+/// Describes in words whether a key is required, and the default if it is not.
 fn default(key: &Key) -> String {
     match &key.part["default"] {
         _ if key.is_required => "required".into(),
         Value::Null => "optional".into(),
-        Value::Array(none) if none.is_empty() => "none by default".into(),
+        Value::Array(items) if items.is_empty() => "none by default".into(),
         Value::Object(_) => "optional".into(),
         value => format!("default `{value}`"),
     }
 }
 
-/// The description of a key.
+/// The description of a key on one line: its own, or else that of its type.
 fn description(key: &Key) -> String {
     let text = key.part["description"].as_str();
     let text = text.or_else(|| resolved(&SCHEMA, key.part)["description"].as_str());
     text.unwrap_or_default().split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// The meaning of a key and of those in its table; `None` if there is no such key.
+/// Describes a key and, if it is a table, all keys below it. The empty path selects all keys. `None` if there is no
+/// such key.
 pub fn explain(path: &str) -> Option<String> {
     let without_brackets = |path: &str| path.replace("[]", "");
-    let wanted = without_brackets(path.trim_matches('.'));
+    let requested = without_brackets(path.trim_matches('.'));
     let mut out = String::new();
     for key in keys() {
         let name = without_brackets(&key.path);
-        if wanted.is_empty() || name == wanted || name.starts_with(&format!("{wanted}.")) {
-            let about =
+        if requested.is_empty() || name == requested || name.starts_with(&format!("{requested}.")) {
+            let summary =
                 format!("{}{}, {}", type_of(key.part), range(key.part), default(&key)).replace('`', "");
-            let _ = writeln!(out, "{}  ({about})\n    {}", key.path, description(&key));
+            let _ = writeln!(out, "{}  ({summary})\n    {}", key.path, description(&key));
         }
     }
     (!out.is_empty()).then_some(out)
 }
 
 /// The start of the reference page.
-const MARKDOWN_HEAD: &str = "# Configuration\n\nMade by `leadrelay config markdown` from the schema; a test holds it against \
-     the program. `leadrelay check FILE` tells all faults of a file at once, `leadrelay config example` prints a file \
-     that shows every key.\n\nA *duration* is written as `250ms`, `1s 500ms` or `2m`, an *address* as \
-     `127.0.0.1:8080`, a *size* as `64MiB`. Unknown keys are faults.\n";
+const MARKDOWN_HEAD: &str = "# Configuration\n\nGenerated from the schema by `leadrelay config markdown`; a test \
+     checks that it is up to date. `leadrelay check FILE` reports all errors in a file at once, `leadrelay config \
+     example` prints a file that shows every key.\n\nA *duration* is written as `250ms`, `1s 500ms` or `2m`, an *address* as \
+     `127.0.0.1:8080`, a *size* as `64MiB`. Unknown keys are errors.\n";
 
-/// The reference page of the configuration.
+/// The reference page of the configuration, in Markdown.
 pub fn markdown() -> String {
     let mut page = String::from(MARKDOWN_HEAD);
     let mut needs_header = true;
@@ -148,14 +150,15 @@
     page
 }
 
-/// The heading and the description of a table.
+/// Writes the heading and the description of a table.
 fn write_section(page: &mut String, key: &Key) {
-    let (open, close) = if key.path.ends_with("[]") { ("[[", "]]") } else { ("[", "]") };
+    let (opening, closing) = if key.path.ends_with("[]") { ("[[", "]]") } else { ("[", "]") };
     let name = key.path.replace("[]", "");
     let hashes = "#".repeat(2 + key.depth);
-    let _ = write!(page, "\n{hashes} `{open}{name}{close}`\n\n{}\n", description(key));
+    let _ = write!(page, "\n{hashes} `{opening}{name}{closing}`\n\n{}\n", description(key));
 }
 
+/// Writes the line of a key in the Markdown table.
 fn write_row(page: &mut String, key: &Key<'static>) {
     let name = key.path.rsplit('.').next().unwrap_or(&key.path);
     let value = format!("{}{}; {}", type_of(key.part), range(key.part), default(key));
--- a/crates/proxy/src/config/fault.rs
+++ b/crates/proxy/src/config/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of a configuration file, each with its place in the text.
+//! Faults (errors in a configuration file), each with its position in the text.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,33 +7,34 @@
 use serde_json::{Map, Value};
 use toml::de::{DeTable, DeValue};
 
-/// One fault. Lines and columns count from 1; both are 0 where a fault has no place in the text.
+/// An error in a configuration file. Lines and columns count from 1; both are 0 if the fault has no position in the
+/// text.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// Its line.
+    /// The line.
     pub line: usize,
-    /// Its column, in characters.
+    /// The column, in characters.
     pub column: usize,
-    /// What is wrong, in one line.
+    /// A description of the error, on one line.
     pub message: String,
 }
 
-/// All faults of a file. Displayed as one `file:line:column: message` a line.
+/// All faults of a file. Displayed as `file:line:column: message`, one fault per line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
-    /// The file as its user named it.
+    /// The file's path as the user gave it.
     pub file: String,
-    /// Its faults, in the order of their places; never empty.
+    /// The faults, in the order of their positions; never empty.
     pub faults: Vec<Fault>,
 }
 
 impl fmt::Display for Faults {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         for (index, fault) in self.faults.iter().enumerate() {
-            let end = if index + 1 < self.faults.len() { "\n" } else { "" };
+            let separator = if index + 1 < self.faults.len() { "\n" } else { "" };
             match fault.line {
-                0 => write!(f, "{}: {}{end}", self.file, fault.message)?,
-                line => write!(f, "{}:{line}:{}: {}{end}", self.file, fault.column, fault.message)?,
+                0 => write!(f, "{}: {}{separator}", self.file, fault.message)?,
+                line => write!(f, "{}:{line}:{}: {}{separator}", self.file, fault.column, fault.message)?,
             }
         }
         Ok(())
@@ -43,27 +44,28 @@
 impl std::error::Error for Faults {}
 
 impl Faults {
-    /// A file with one fault that has no place in its text.
-    pub fn whole(file: &str, message: impl Into<String>) -> Self {
+    /// One fault that concerns the file as a whole and has no position.
+    pub fn without_position(file: &str, message: impl Into<String>) -> Self {
         let fault = Fault { line: 0, column: 0, message: message.into() };
         Faults { file: file.to_owned(), faults: vec![fault] }
     }
 }
 
-/// A file's text with the places of its values.
-pub(super) struct Text<'a> {
+/// The text of a TOML file with the positions of its keys and values.
+pub(super) struct SourceText<'a> {
     text: &'a str,
-    /// The bytes of each key, by its JSON pointer.
+    /// The byte range of each key, by JSON pointer.
     keys: HashMap<String, Range<usize>>,
-    /// The bytes of each value, by its JSON pointer.
+    /// The byte range of each value, by JSON pointer.
     values: HashMap<String, Range<usize>>,
 }
 
-impl<'a> Text<'a> {
-    /// Parses a TOML text as far as it can be parsed; the rest is reported as faults.
-    pub fn read(text: &'a str) -> (Self, Value, Vec<Fault>) {
+impl<'a> SourceText<'a> {
+    /// Parses a TOML text as far as possible. Syntax errors are returned as faults. An integer beyond 64 bits
+    /// and a number that is not finite become null.
+    pub fn parse(text: &'a str) -> (Self, Value, Vec<Fault>) {
         let (table, errors) = DeTable::parse_recoverable(text);
-        let mut parsed = Text { text, keys: HashMap::new(), values: HashMap::new() };
+        let mut parsed = SourceText { text, keys: HashMap::new(), values: HashMap::new() };
         let value = parsed.table("", table.get_ref());
         let faults =
             errors.iter().map(|error| parsed.fault(error.span().unwrap_or(0..0), error.message())).collect();
@@ -71,15 +73,15 @@
     }
 
     fn table(&mut self, pointer: &str, table: &DeTable) -> Value {
-        let mut all = Map::new();
+        let mut entries = Map::new();
         for (key, value) in table {
             let name: &str = key.get_ref();
-            let below = format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
-            self.keys.insert(below.clone(), key.span());
-            self.values.insert(below.clone(), value.span());
-            all.insert(name.to_owned(), self.value(&below, value.get_ref()));
+            let child_pointer = format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
+            self.keys.insert(child_pointer.clone(), key.span());
+            self.values.insert(child_pointer.clone(), value.span());
+            entries.insert(name.to_owned(), self.value(&child_pointer, value.get_ref()));
         }
-        Value::Object(all)
+        Value::Object(entries)
     }
 
     fn value(&mut self, pointer: &str, value: &DeValue) -> Value {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// A fault at these bytes of the text.
+    /// A fault at a byte range of the text.
     pub fn fault(&self, span: Range<usize>, message: impl Into<String>) -> Fault {
         let mut start = span.start.min(self.text.len());
         while !self.text.is_char_boundary(start) {
@@ -113,12 +115,13 @@
         let before = &self.text[..start];
         let line = before.matches('\n').count() + 1;
         let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        // A parser's message may have several lines.
+        // The message of the TOML parser may have several lines.
         let message = message.into().lines().map(str::trim).collect::<Vec<_>>().join(", ");
         Fault { line, column, message }
     }
 
-    /// A fault of the value at a JSON pointer, or of the closest one around it that is in the text.
+    /// A fault at the value that a JSON pointer names, or at its closest enclosing value if the text doesn't contain
+    /// it.
     pub fn at(&self, pointer: &str, message: impl Into<String>) -> Fault {
         let mut pointer = pointer;
         loop {
@@ -132,7 +135,7 @@
         }
     }
 
-    /// A fault of the key at a JSON pointer.
+    /// A fault at the key that a JSON pointer names.
     pub fn at_key(&self, pointer: &str, message: impl Into<String>) -> Fault {
         match self.keys.get(pointer) {
             Some(span) => self.fault(span.clone(), message),
--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -1,4 +1,4 @@
-//! The conversion of a file without faults into a [`Config`].
+//! Converts a valid file into a [`Config`].
 
 use std::hash::{BuildHasher, RandomState};
 
@@ -17,8 +17,8 @@
 };
 use crate::listed_endpoint::{Health, ListedEndpoint};
 
-/// Shortest span that the balancer takes, in milliseconds.
-const MIN_SPAN: f64 = 1.0;
+/// Shortest slow-start and overload window that the balancer supports, in milliseconds.
+const MIN_WINDOW_MS: f64 = 1.0;
 
 impl From<File> for Config {
     fn from(mut file: File) -> Config {
@@ -68,7 +68,7 @@
     }
 }
 
-/// The classes where a file names none.
+/// The classes of a file that defines none.
 fn default_classes() -> Vec<Class> {
     let read_methods = defaults::READ_METHODS.map(str::to_owned).to_vec();
     vec![default_class("read", read_methods, Effect::Safe), default_class("write", Vec::new(), Effect::Once)]
@@ -89,7 +89,7 @@
     }
 }
 
-/// A seed that differs between two proxies that are started together.
+/// A random seed, which differs between proxies even if they start at the same time.
 fn random_seed() -> u64 {
     RandomState::new().hash_one(std::process::id())
 }
@@ -120,13 +120,13 @@
 
 fn limits(file: &File) -> Limits {
     Limits {
-        // The last list is used for as long as discovery is silent.
+        // While discovery doesn't respond, the last known list stays in use without a time limit.
         drain_grace: f64::INFINITY,
         notified_without_watch: f64::INFINITY,
         initial_capacity: file.slow_start.initial_capacity,
-        slow_start_window: file.slow_start.window.ms().max(MIN_SPAN),
+        slow_start_window: file.slow_start.window.ms().max(MIN_WINDOW_MS),
         overload_multiple: file.slow_start.overload_multiple,
-        overload_window: file.slow_start.overload_window.ms().max(MIN_SPAN),
+        overload_window: file.slow_start.overload_window.ms().max(MIN_WINDOW_MS),
         max_open_requests: max_open_requests(file.limits.descriptors),
         max_attempts: file.limits.attempts,
     }
@@ -173,7 +173,7 @@
 }
 
 impl Backend {
-    /// Its name, or its address if it has none.
+    /// The backend's name, or its address if it has no name.
     pub fn label(&self) -> String {
         self.name.clone().unwrap_or_else(|| self.address.0.to_string())
     }
--- a/crates/proxy/src/config/file/defaults.rs
+++ b/crates/proxy/src/config/file/defaults.rs
@@ -1,42 +1,42 @@
-//! Values of the keys that a file leaves out.
+//! Default values of the configuration keys.
 
-use crate::config::values::{Size, Span};
+use crate::config::values::{DurationText, Size};
 
-/// Deadline of the classes that there are where a file names none.
-pub const DEADLINE: Span = Span::from_secs(30);
-/// Their latency objective.
-pub const LATENCY_OBJECTIVE: Span = Span::from_secs(2);
-/// Memory of the process, in bytes.
+/// Deadline of the classes that are used if a file defines none.
+pub const DEADLINE: DurationText = DurationText::from_secs(30);
+/// Latency objective of the classes that are used if a file defines none.
+pub const LATENCY_OBJECTIVE: DurationText = DurationText::from_secs(2);
+/// Memory limit of the process, in bytes.
 pub const MEMORY: Size = Size(256 << 20);
-/// Methods of the class `read`.
+/// Methods of the default class `read`.
 pub const READ_METHODS: [&str; 3] = ["GET", "HEAD", "OPTIONS"];
 
-/// The proxy's name.
+/// Name of the proxy.
 pub fn proxy_name() -> String {
     "leadrelay".into()
 }
 
-/// The header that names a request's tenant.
+/// Name of the request header that carries the tenant's name.
 pub fn tenant_header() -> String {
     "X-Tenant-Id".into()
 }
 
-/// The beginning of the paths of a class: all paths.
+/// Path prefix of a class; `/` matches every path.
 pub fn path() -> String {
     "/".into()
 }
 
-/// The weight of a backend and the priority weight of a class.
+/// Weight of a backend, and priority weight of a class.
 pub fn one() -> f64 {
     1.0
 }
 
-/// The fraction of a class's priority weight that a late response earns.
+/// Fraction of a class's priority weight that a response after the latency objective still earns.
 pub fn late_fraction() -> f64 {
     0.5
 }
 
-/// The fraction of a class's priority weight that a request beyond its tenant's quota has.
+/// Priority weight of a request beyond its tenant's quota, as a fraction of the class's priority weight.
 pub fn over_quota_fraction() -> f64 {
     0.1
 }
--- a/crates/proxy/src/config/file/mod.rs
+++ b/crates/proxy/src/config/file/mod.rs
@@ -1,7 +1,7 @@
-//! Our own configuration file: TOML, for those who do not run on the operators' platform.
+//! The TOML configuration file, leadrelay's own format for use outside of the operators' platform.
 //!
-//! `schema` is its form, `defaults` has the values of keys that are left out, `checks` finds the faults that the schema
-//! can't express, `convert` makes a [`Config`] of it.
+//! `schema` defines the keys and `defaults` their default values, `checks` finds the faults that the schema can't
+//! express, and `convert` turns the file into a [`Config`].
 
 mod checks;
 mod convert;
@@ -10,23 +10,24 @@
 
 use super::Config;
 use super::check;
-use super::fault::{Fault, Text};
+use super::fault::{Fault, SourceText};
 use super::values::FORMATS;
 use schema::File;
 pub(super) use schema::SCHEMA;
 
-/// Parses a file; all its faults are reported at once.
+/// Parses a file. Each stage (syntax, schema, further checks) reports all its faults at once; the first stage with
+/// faults is the last one that runs.
 pub(super) fn parse(text: &str) -> Result<Config, Vec<Fault>> {
-    let (text, value, syntax_faults) = Text::read(text);
-    none_of(syntax_faults)?;
-    none_of(check::against_schema(&SCHEMA, &FORMATS, &text, &value))?;
+    let (text, value, syntax_faults) = SourceText::parse(text);
+    fail_if_any(syntax_faults)?;
+    fail_if_any(check::against_schema(&SCHEMA, &FORMATS, &text, &value))?;
     let file: File = serde_json::from_value(value).map_err(|error| vec![text.at("", error.to_string())])?;
-    none_of(checks::faults(&file, &text))?;
+    fail_if_any(checks::faults(&file, &text))?;
     Ok(file.into())
 }
 
-/// An error with these faults in the order of their places, unless there are none.
-fn none_of(mut faults: Vec<Fault>) -> Result<(), Vec<Fault>> {
+/// Returns the faults as an error, sorted by position and without duplicates, or `Ok` if there are none.
+fn fail_if_any(mut faults: Vec<Fault>) -> Result<(), Vec<Fault>> {
     if faults.is_empty() {
         return Ok(());
     }
--- a/crates/proxy/src/config/file/schema.rs
+++ b/crates/proxy/src/config/file/schema.rs
@@ -1,6 +1,6 @@
-//! The form of the file. The doc comments are shown to users: they are the descriptions in the JSON schema and in the
-//! reference page. A field's name is the file's key, unless the standard term is another: then `serde(rename)` has the
-//! key.
+//! The keys of the TOML file. The doc comments are shown to users as the descriptions in the JSON schema and on the
+//! reference page. The key of a field is the field's name, or the name in `serde(rename)` where the standard term in
+//! the code differs from the key.
 
 use std::sync::LazyLock;
 
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use super::defaults;
-use crate::config::values::{Address, FilterText, Size, Span};
+use crate::config::values::{Address, DurationText, FilterText, Size};
 use crate::config::{self, Format};
 
 /// Configuration of leadrelay. One listener and one backend make a working proxy; every other key has a default.
@@ -19,67 +19,72 @@
     /// The proxy's name in logs and in the files of an upgrade.
     #[serde(default = "defaults::proxy_name")]
     pub name: String,
-    /// Where clients connect, as IP:PORT; port 0 lets the system choose. Needs a restart to change.
+    /// Address at which the proxy accepts client connections, as IP:PORT; with port 0 the operating system chooses the
+    /// port. A change takes effect only after a restart.
     pub listen: Address,
-    /// A path at which clients' load balancers ask whether to send clients here: 200 while the proxy serves, 503
-    /// before and while it drains. Without it every path is a request.
+    /// Path of the readiness check for load balancers in front of the proxy: it responds 200 while the proxy serves
+    /// requests, and 503 before that and while it drains. If not given, requests to every path are forwarded.
     pub up_path: Option<String>,
-    /// Number that the random choices start from; drawn at each start if not given.
+    /// Seed of the proxy's random number generator; chosen at random at each start if not given.
     pub seed: Option<u32>,
-    /// The backends, where they are known beforehand. Give these or `discovery`.
+    /// Fixed list of backends. Either `backends` or `discovery` has to be given, but not both.
     #[serde(default)]
     pub backends: Vec<Backend>,
-    /// Where the list of backends comes from, if it changes. Give this or `backends`.
+    /// Discovery service that provides a changing list of backends. Either `discovery` or `backends` has to be given,
+    /// but not both.
     pub discovery: Option<Discovery>,
-    /// Kinds of requests, by path and method; the longest path that fits wins. Without any there are two: `read` for
-    /// GET, HEAD and OPTIONS, which may be repeated, and `write` for all else, which may not.
+    /// Classes of requests, selected by path and method; the class with the longest matching path applies. If none are
+    /// given, there are two: `read` for GET, HEAD and OPTIONS, whose requests may run more than once, and `write` for
+    /// all other methods, whose requests must not.
     #[serde(default)]
     pub classes: Vec<Class>,
-    /// Customers that share the capacity, each with what it may ask for. A request names its tenant in
-    /// `tenant_header`.
+    /// Tenants that share the capacity, each with a quota of requests per second. A request names its tenant in the
+    /// header that `tenant_header` gives.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
-    /// The header that names a request's tenant.
+    /// Name of the request header that carries the tenant's name.
     #[serde(default = "defaults::tenant_header")]
     pub tenant_header: String,
-    /// What a request beyond its tenant's allowance is still worth, as a part of its class's worth.
+    /// Priority weight of a request beyond its tenant's quota (`per_second`), as a fraction of the priority weight of
+    /// its class (`worth`).
     #[serde(rename = "over_allowance_worth", default = "defaults::over_quota_fraction")]
     #[schemars(range(min = 0, max = 1))]
     pub over_quota_fraction: f64,
-    /// The zone in which this proxy stands; backends of other zones count as further away.
+    /// Zone in which this proxy runs; backends in other zones count as farther away.
     pub zone: Option<String>,
-    /// Other proxies of the same backends.
+    /// The proxies that share the same backends and exchange gossip by UDP.
     pub peers: Option<Peers>,
-    /// Second address, for operators: figures, maintenance, draining.
+    /// Admin interface for operators, on a separate address: metrics, maintenance of backends, draining.
     pub admin: Option<Admin>,
-    /// What the process may take.
+    /// Resource limits of the process and the limit on attempts per request.
     #[serde(default)]
     pub limits: Limits,
-    /// How long things may take.
+    /// Time-outs of connections to backends. The time allowed for a response is the deadline of the request's class.
     #[serde(default)]
     pub timeouts: Timeouts,
-    /// How backends are treated that discovery says have just started.
+    /// Slow start: limits on the load of backends that have just started according to discovery.
     #[serde(rename = "cold", default)]
     pub slow_start: SlowStart,
-    /// What is written to standard error.
+    /// Log events on standard error.
     #[serde(default)]
     pub logging: Logging,
 }
 
-/// A backend of a fixed list.
+/// A backend in a fixed list.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Backend {
-    /// Where it listens for HTTP/1.1.
+    /// Address at which the backend accepts HTTP/1.1, as IP:PORT.
     pub address: Address,
-    /// Its name for operators; its address if not given.
+    /// Name of the backend for operators, for example in metrics; its address if not given.
     pub name: Option<String>,
-    /// Its zone.
+    /// Zone in which the backend runs.
     pub zone: Option<String>,
-    /// Its kind of machine: backends of one kind are taken to be about equally fast until measured.
+    /// Machine class of the backend: backends of the same class are assumed to be about equally fast until their speed
+    /// has been measured.
     #[serde(rename = "kind")]
     pub machine_class: Option<String>,
-    /// Its size compared with the others, in cores say.
+    /// Capacity of the backend relative to the other backends, for example its number of cores.
     #[serde(default = "defaults::one")]
     #[schemars(range(min = 0.001, max = 1000))]
     pub weight: f64,
@@ -90,7 +95,7 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "DiscoveryAt")]
 pub struct Discovery {
-    /// Its address; it is asked for `GET /discovery/hosts?watch=1`.
+    /// Address of the discovery service, as IP:PORT; the proxy requests `GET /discovery/hosts?watch=1` from it.
     pub address: Address,
 }
 
@@ -99,22 +104,22 @@
 #[serde(rename_all = "lowercase")]
 #[schemars(rename = "EffectOf")]
 pub enum Effect {
-    /// Repeating it does no harm.
+    /// The request may run more than once without harm.
     Safe,
-    /// It must not run twice.
+    /// The request must not run more than once.
     Once,
-    /// It carries an `Idempotency-Key`, by which backends drop repeats for `window`.
+    /// The request carries an `Idempotency-Key` header, by which backends discard repeats for the duration `window`.
     Keyed,
 }
 
-/// Which backends drop a repeat of a keyed request.
+/// Deduplication scope: the backends that discard a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Scope {
-    /// Each of them.
+    /// All backends discard a repeat.
     #[default]
     All,
-    /// Those in the zone of the first one tried.
+    /// Only backends in the zone of the first attempt's backend discard a repeat.
     Zone,
 }
 
@@ -123,129 +128,134 @@
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "ClassOf")]
 pub struct Class {
-    /// Its name in figures and logs.
+    /// Name of the class in metrics and logs.
     #[schemars(length(min = 1))]
     pub name: String,
-    /// The beginning of the paths that belong to it, whole segments: `/orders` takes `/orders/7`, not `/ordersheet`.
+    /// Path prefix of the class's requests, in whole segments: `/orders` matches `/orders/7` but not `/ordersheet`.
     #[serde(default = "defaults::path")]
     pub path: String,
-    /// The methods that belong to it; all if not given.
+    /// Methods of the class's requests, in upper case; all methods if not given.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// Whether it may run more than once.
+    /// Whether a request of the class may run more than once.
     pub effect: Effect,
-    /// A client gives up after this span, unless its `X-Timeout` header says less.
-    pub deadline: Span,
-    /// An answer within this span earns the full worth; the deadline if not given.
+    /// Time from a request's arrival after which its client gives up, unless the request's `X-Timeout` header, in
+    /// seconds, is shorter.
+    pub deadline: DurationText,
+    /// Latency objective: a response within this time earns the full priority weight (`worth`). The deadline if not
+    /// given.
     #[serde(rename = "aim")]
-    pub latency_objective: Option<Span>,
-    /// What an answer in time is worth, compared with other classes. Under overload the most worth is served.
+    pub latency_objective: Option<DurationText>,
+    /// Priority weight of a response within the latency objective (`aim`), relative to other classes. Under overload
+    /// the proxy serves the requests that earn the most priority weight.
     #[serde(rename = "worth", default = "defaults::one")]
     #[schemars(range(min = 0.000001, max = 1000000))]
     pub priority_weight: f64,
-    /// The part of the worth that an answer after the aim still earns.
+    /// Fraction of the priority weight (`worth`) that a response after the latency objective (`aim`) still earns.
     #[serde(rename = "late_worth", default = "defaults::late_fraction")]
     #[schemars(range(min = 0, max = 1))]
     pub late_fraction: f64,
-    /// For keyed requests: which backends drop a repeat.
+    /// For keyed requests: the backends that discard a repeat.
     #[serde(default)]
     pub scope: Scope,
-    /// For keyed requests: for how long after the first attempt.
-    pub window: Option<Span>,
+    /// For keyed requests: how long after the first attempt backends discard a repeat.
+    pub window: Option<DurationText>,
 }
 
-/// A tenant.
+/// A tenant, whose requests share a quota.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "TenantOf")]
 pub struct Tenant {
-    /// Its name, as requests tell it.
+    /// Name of the tenant, as requests give it in the header `tenant_header`.
     #[schemars(length(min = 1))]
     pub name: String,
-    /// Requests a second, over all proxies, that count in full.
+    /// Quota of the tenant, in requests per second over all proxies; requests beyond it have a lower priority weight
+    /// (`over_allowance_worth`).
     #[serde(rename = "per_second")]
     #[schemars(range(min = 0, max = 1000000000))]
     pub quota_per_second: f64,
 }
 
-/// Proxies of the same backends tell each other by UDP what they hold.
+/// The proxies that share the same backends and exchange gossip by UDP, such as their load on each backend.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// Every proxy's address for datagrams, this one's included, in the same order at each proxy.
+    /// Gossip address (UDP) of every proxy, including this one, as IP:PORT and in the same order at each proxy.
     #[schemars(length(min = 1, max = 65536))]
     pub addresses: Vec<Address>,
-    /// Which of them is this proxy's, counted from 0.
+    /// Index of this proxy's address in `addresses`, counted from 0.
     #[serde(rename = "me")]
     pub proxy_index: u32,
 }
 
-/// The second address.
+/// The admin interface.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Admin {
-    /// Where operators connect. Whoever reaches it may drain the proxy: keep it private.
+    /// Address of the admin interface, as IP:PORT. Anyone who can connect to it can drain the proxy: keep it private.
     pub listen: Address,
 }
 
-/// Bounds of the process.
+/// Resource limits of the process and the limit on attempts per request.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "LimitsOf")]
 pub struct Limits {
-    /// File descriptors that the proxy may use, for clients and backends together.
+    /// Number of file descriptors that the proxy may use, for clients and backends together.
     #[schemars(range(min = 64, max = 1000000))]
     pub descriptors: usize,
-    /// Memory that the process may take; a sixth of it is for bodies on their way.
+    /// Memory that the process may use; at most a sixth of it holds request and response bodies in transit.
     pub memory: Size,
-    /// Attempts that one request may have.
+    /// Maximum number of attempts per request.
     #[schemars(range(min = 1, max = 100))]
     pub attempts: u32,
 }
 
-/// Time-outs. The time for an answer is a class's deadline.
+/// Time-outs of connections to backends. The time allowed for a response is the deadline of the request's class.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Timeouts {
-    /// A connection to a backend that is not up within this span has failed.
-    pub connect: Span,
-    /// Backends close a connection that has been idle for this span; it is not used for longer, and
-    /// kept for less while backends turn new connections away.
-    pub idle: Span,
+    /// Time within which a connection to a backend has to be established; otherwise it has failed.
+    pub connect: DurationText,
+    /// Time after which backends close an idle connection. The proxy reuses no connection that has been idle for
+    /// longer, and keeps idle connections for a shorter time while backends refuse new ones.
+    pub idle: DurationText,
 }
 
-/// Cold starts: what a backend can take that has just started.
+/// Slow start: the load that a backend can handle just after its start.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "Cold")]
 pub struct SlowStart {
-    /// The part of its capacity that it has at once.
+    /// Fraction of its full capacity that a backend has immediately after its start.
     #[serde(rename = "capacity")]
     #[schemars(range(min = 0.01, max = 1))]
     pub initial_capacity: f64,
-    /// It has all of it after this span.
+    /// Time after its start at which a backend has its full capacity.
     #[serde(rename = "span")]
-    pub window: Span,
-    /// Sent more than this multiple of what it can do ...
+    pub window: DurationText,
+    /// Overload threshold of a backend in slow start, as a multiple of its current capacity: it fails if it receives
+    /// more load than this for the duration `fall`.
     #[serde(rename = "multiple")]
     #[schemars(range(min = 1, max = 1000))]
     pub overload_multiple: f64,
-    /// ... for this span, it falls over.
+    /// Time for which a backend in slow start withstands more load than the overload threshold (`multiple`).
     #[serde(rename = "fall")]
-    pub overload_window: Span,
+    pub overload_window: DurationText,
 }
 
-/// Logs.
+/// Log events.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(rename = "LoggingOf")]
 pub struct Logging {
-    /// Which events: a level (`error`, `warn`, `info`, `debug`, `trace`, `off`), or `target=level` pairs parted by
-    /// commas.
+    /// Events to log: a level (`error`, `warn`, `info`, `debug`, `trace`, `off`), `target=level` pairs, or several of
+    /// these separated by commas.
     pub filter: FilterText,
-    /// One line of text or one JSON object an event.
+    /// Format of a log event: one line of text or one JSON object.
     pub format: Format,
-    /// The part of the requests that leave an access event, from 0 for none to 1 for all.
+    /// Fraction of the requests for which an access event is logged, from 0 for none to 1 for all.
     #[schemars(range(min = 0, max = 1))]
     pub access: f64,
 }
@@ -258,7 +268,7 @@
 
 impl Default for Timeouts {
     fn default() -> Self {
-        Timeouts { connect: Span::from_secs(1), idle: Span::from_secs(15) }
+        Timeouts { connect: DurationText::from_secs(1), idle: DurationText::from_secs(15) }
     }
 }
 
@@ -266,9 +276,9 @@
     fn default() -> Self {
         SlowStart {
             initial_capacity: 0.2,
-            window: Span::from_secs(30),
+            window: DurationText::from_secs(30),
             overload_multiple: 3.0,
-            overload_window: Span::from_secs(1),
+            overload_window: DurationText::from_secs(1),
         }
     }
 }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -1,7 +1,9 @@
-//! The configuration of a proxy: our own TOML or the operators' JSON, both parsed into one typed [`Config`].
+//! The configuration of a proxy: leadrelay's own TOML format or the operators' JSON, both parsed into one typed
+//! [`Config`].
 //!
-//! `file` is the TOML file, `platform` the JSON; `check` finds faults by the schema, `fault` reports them with their
-//! places, `values` are durations, sizes and the like, `explain` writes the reference of all keys.
+//! `file` reads TOML and `platform` reads JSON. `check` validates TOML against the schema, `fault` holds the errors
+//! found in a file with their positions, `values` defines durations, sizes and other values that are written as text,
+//! and `explain` generates the reference of all keys.
 
 mod check;
 mod explain;
@@ -25,89 +27,92 @@
 pub use explain::{explain, markdown};
 pub use fault::{Fault, Faults};
 
-/// Numerator and denominator of the fraction of the sockets that open requests may have. The balancer sheds requests a
-/// little before clients have used up their sockets, so that better requests can still arrive.
+/// Limit on open requests as a fraction (numerator and denominator) of the file descriptors. With this value the
+/// balancer sheds requests shortly before clients have used up their sockets, so that requests of higher priority can
+/// still arrive.
 const OPEN_REQUEST_FRACTION: (usize, usize) = (5, 16);
 
+/// The limit on open requests of a process that may use `max_sockets` file descriptors.
 fn max_open_requests(max_sockets: usize) -> usize {
     let (numerator, denominator) = OPEN_REQUEST_FRACTION;
     max_sockets * numerator / denominator
 }
 
-/// A file that shows every key, as `leadrelay config example` prints it.
+/// An example file with every key, which `leadrelay config example` prints.
 pub const EXAMPLE: &str = include_str!("example.toml");
 
-/// The addresses of gossip between proxies.
+/// The addresses for gossip between proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerAddresses {
-    /// This proxy's.
+    /// The address at which this proxy receives gossip.
     pub listen: SocketAddr,
-    /// The address of each proxy, in the order of their indices.
+    /// The address of each proxy, this one included, in the order of the proxies' indices.
     pub peers: Vec<SocketAddr>,
-    /// An address that reaches all others, if the network has one.
+    /// An address that delivers a datagram to all other proxies, if the network provides one.
     pub all: Option<SocketAddr>,
 }
 
-/// Where the endpoint list comes from.
+/// The source of the endpoint list.
 #[derive(Clone, Debug)]
 pub enum Source {
-    /// A discovery service.
+    /// A discovery service at this address.
     Discovery(SocketAddr),
-    /// The configuration.
+    /// A fixed list in the configuration file.
     Fixed(Vec<ListedEndpoint>),
 }
 
-/// A rule that assigns requests to a class.
+/// A rule that assigns requests to a class by path and method.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The class.
+    /// The name of the class.
     pub class: String,
-    /// The beginning of the paths, whole segments.
+    /// The path prefix, in whole segments.
     pub path: String,
-    /// The methods; all if empty.
+    /// The methods; empty for all methods.
     pub methods: Vec<String>,
 }
 
-/// How requests are read that don't follow the operators' protocol.
+/// The rules for reading requests that don't follow the operators' protocol.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plain {
-    /// Which class a request belongs to.
+    /// The rules that assign requests to classes.
     pub routes: Vec<Route>,
-    /// The path at which load balancers ask for this proxy.
+    /// The path of the readiness check for load balancers in front of the proxy.
     pub up_path: Option<String>,
-    /// The header that names a tenant.
+    /// The name of the request header that carries the tenant's name.
     pub tenant_header: String,
 }
 
-/// The protocol of clients: what a request's head must have, and what counts as served.
+/// The protocol of the clients. It decides how request heads are read and which responses count as served.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Dialect {
-    /// The operators' protocol: the class is the path's first segment, headers have id, tenant and time-out, and only
-    /// status 200 is served.
+    /// The operators' protocol: the first path segment is the class, headers carry the request's id, tenant and
+    /// time-out, and only status 200 counts as served.
     Platform,
-    /// Any HTTP/1.1.
+    /// Any HTTP/1.1 client. Configured routes assign requests to classes, and any response except a server error counts
+    /// as served.
     Plain(Plain),
 }
 
-/// How an event is written.
+/// The format of a log event.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// A line of text.
+    /// One line of text.
     #[default]
     Text,
-    /// A JSON object.
+    /// One JSON object.
     Json,
 }
 
-/// What is logged.
+/// The settings of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Logging {
-    /// Levels by target.
+    /// The log levels, overall and by target.
     pub filter: String,
-    /// The form of a line.
+    /// The format of each event.
     pub format: Format,
-    /// The fraction of requests that leave an access event.
+    /// The fraction of requests for which an access event is logged.
     pub access: f64,
 }
 
@@ -117,12 +122,13 @@
     }
 }
 
-/// Which file a configuration was read from.
+/// The format of the file that a configuration was read from.
 #[derive(Clone, Debug)]
 pub enum Origin {
-    /// The operators' JSON, without the cached list.
+    /// The operators' JSON. The value is the file's content without the cached endpoint list, for comparison at a
+    /// reload.
     Platform(Value),
-    /// Our own.
+    /// leadrelay's own TOML format.
     File,
 }
 
@@ -131,90 +137,92 @@
 pub struct Config {
     /// The proxy's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address at which the proxy accepts client connections.
     pub listen: SocketAddr,
-    /// The second address, for operators.
+    /// The address of the admin interface, if there is one.
     pub admin: Option<SocketAddr>,
-    /// Where the endpoint list comes from.
+    /// The source of the endpoint list.
     pub source: Source,
-    /// The seed of random choices.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// The number of file descriptors that the process may use.
     pub max_sockets: usize,
-    /// Memory that the process may take, in bytes.
+    /// The memory that the process may use, in bytes.
     pub max_memory: usize,
-    /// The other proxies, if gossip is enabled.
+    /// The addresses for gossip with the other proxies, if gossip is enabled.
     pub peers: Option<PeerAddresses>,
-    /// The cached endpoint list in discovery's form; may be out of date, or null.
+    /// The cached endpoint list in the format of the discovery service; null if there is none. It may be out of date.
     pub cached_list: Value,
     /// The settings of the balancer.
     pub settings: Settings,
-    /// The names that the balancer knows by numbers.
+    /// The names of classes, tenants and zones, which the balancer refers to by index.
     pub names: Names,
-    /// Time-outs of connections.
+    /// The time-outs of connections to backends.
     pub connections: ConnectionTimeouts,
-    /// How requests are read.
+    /// The protocol of the clients.
     pub dialect: Dialect,
-    /// What is logged.
+    /// The settings of the log.
     pub logging: Logging,
-    /// The file behind it.
+    /// The format of the file that the configuration was read from.
     pub origin: Origin,
 }
 
-/// Whether a text is the operators' JSON: our own format can't begin with a brace.
-fn is_platform(text: &str) -> bool {
+/// Whether a text is the operators' JSON. TOML can't begin with a brace.
+fn is_platform_json(text: &str) -> bool {
     text.trim_start().starts_with('{')
 }
 
-fn load(path: &Path) -> Result<String, Faults> {
+fn read_text(path: &Path) -> Result<String, Faults> {
     let file = path.display().to_string();
-    let bytes = std::fs::read(path).map_err(|error| Faults::whole(&file, error.to_string()))?;
+    let bytes = std::fs::read(path).map_err(|error| Faults::without_position(&file, error.to_string()))?;
     String::from_utf8(bytes).map_err(|error| {
-        let message = format!("byte {} is no UTF-8", error.utf8_error().valid_up_to());
-        Faults::whole(&file, message)
+        let message = format!("not valid UTF-8 at byte {}", error.utf8_error().valid_up_to());
+        Faults::without_position(&file, message)
     })
 }
 
-/// Reads a configuration file of either form.
+/// Reads a configuration file of either format.
 pub fn read(path: &Path) -> Result<Config, Faults> {
-    parse(&load(path)?, &path.display().to_string())
+    parse(&read_text(path)?, &path.display().to_string())
 }
 
-/// Reads the text of a configuration of either form; `file` is what errors call it.
+/// Parses the text of a configuration of either format. Errors refer to it by the name `file`.
 pub fn parse(text: &str, file: &str) -> Result<Config, Faults> {
-    if is_platform(text) {
+    if is_platform_json(text) {
         return platform::parse(text).map_err(|fault| Faults { file: file.to_owned(), faults: vec![fault] });
     }
     file::parse(text).map_err(|faults| Faults { file: file.to_owned(), faults })
 }
 
-/// Reads a configuration file of either form, and reports all its faults, those included that a process tolerates at
-/// its start.
+/// Reads a configuration file of either format and reports all its faults, including those that a starting process
+/// tolerates.
 pub fn check(path: &Path) -> Result<Config, Faults> {
-    let text = load(path)?;
+    let text = read_text(path)?;
     let file = path.display().to_string();
-    if is_platform(&text) {
+    if is_platform_json(&text) {
         return platform::check(&text).map_err(|faults| Faults { file, faults });
     }
     parse(&text, &file)
 }
 
-/// Reads a file again for a process that runs by the file `running`: nothing may be missing or malformed.
+/// Reads the configuration file for a reload of a process whose current configuration came from `running`. Unlike at a
+/// start, missing or malformed settings are errors.
 pub fn reread(path: &Path, running: &Origin) -> Result<Config, Faults> {
-    let text = load(path)?;
+    let text = read_text(path)?;
     let file = path.display().to_string();
     match running {
         Origin::Platform(running) => {
             platform::reparse(&text, running).map_err(|faults| Faults { file, faults })
         }
-        Origin::File if is_platform(&text) => {
-            Err(Faults::whole(&file, "this is the operators' JSON, and the process runs by a TOML file"))
-        }
+        Origin::File if is_platform_json(&text) => Err(Faults::without_position(
+            &file,
+            "the file is JSON, and the process was started with a TOML file",
+        )),
         Origin::File => parse(&text, &file),
     }
 }
 
-/// The JSON schema of our own configuration format.
+/// The JSON schema of the TOML configuration format.
 pub fn schema() -> &'static Value {
     &file::SCHEMA
 }
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration file: JSON, with the settings of their simulator.
+//! The operators' configuration file: JSON whose `settings` object has the same format as in their simulator.
 
 use std::net::SocketAddr;
 
@@ -11,17 +11,19 @@
 use super::fault::Fault;
 use super::{Config, Dialect, Logging, Origin, PeerAddresses, Source, max_open_requests};
 
-/// Sockets where the file gives no limit.
+/// Limit on sockets if the file gives none.
 const DEFAULT_SOCKETS: usize = 1024;
-/// The least sockets that a proxy works with.
+/// Lowest limit on sockets with which a proxy can work; a lower one in the file is raised to it.
 const MIN_SOCKETS: usize = 64;
-/// Memory where the file gives no limit.
+/// Memory limit if the file gives none, in megabytes.
 const DEFAULT_MEMORY_MB: f64 = 64.0;
+/// Lowest memory limit in megabytes; a lower one in the file is raised to it.
 const MIN_MEMORY_MB: f64 = 16.0;
+/// Highest memory limit in megabytes; a higher one in the file is lowered to it.
 const MAX_MEMORY_MB: f64 = 65_536.0;
 const BYTES_PER_MB: f64 = 1e6;
 
-/// The form of the file; unknown keys are ignored.
+/// The keys of the file; unknown keys are ignored.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -46,17 +48,18 @@
     memory_mb: Option<f64>,
 }
 
-/// A fault at the place of a JSON parser's error.
+/// A fault at the position of a JSON parser's error.
 fn syntax_fault(error: &serde_json::Error) -> Fault {
     Fault { line: error.line(), column: error.column(), message: error.to_string() }
 }
 
-/// A fault without a place.
+/// A fault without a position.
 fn fault(message: String) -> Fault {
     Fault { line: 0, column: 0, message }
 }
 
-/// Reads the file for a process that runs by the file `running`: nothing may be missing or malformed.
+/// Parses the file for a reload of a process that runs with the content `running`. Unlike at a start, missing or
+/// malformed settings are errors.
 pub(super) fn reparse(text: &str, running: &Value) -> Result<Config, Vec<Fault>> {
     let raw = serde_json::from_str(text).map_err(|error| vec![syntax_fault(&error)])?;
     check_complete(running, &raw, "").map_err(|error| vec![fault(error.to_string())])?;
@@ -64,38 +67,39 @@
     parse(text).map_err(|fault| vec![fault])
 }
 
-/// Reports all faults of the settings. A process that starts tolerates more: it uses defaults for what is missing.
+/// Reports all faults of the settings. A starting process tolerates some of them and uses defaults for missing
+/// settings.
 fn check_settings(raw: &Value) -> Result<(), Vec<Fault>> {
     let faults: Vec<Fault> =
         settings::validate(&raw["settings"]).iter().map(|error| fault(error.to_string())).collect();
     if faults.is_empty() { Ok(()) } else { Err(faults) }
 }
 
-/// Reports all faults of a file, those included that a process tolerates at its start.
+/// Parses a file and reports all its faults, including those that a starting process tolerates.
 pub(super) fn check(text: &str) -> Result<Config, Vec<Fault>> {
     let raw: Value = serde_json::from_str(text).map_err(|error| vec![syntax_fault(&error)])?;
     match (parse(text), check_settings(&raw)) {
         (Ok(config), Ok(())) => Ok(config),
-        (parsed, checked) => {
+        (parsed, settings_check) => {
             let faults = parsed.err().into_iter();
-            Err(faults.chain(checked.err().into_iter().flatten()).collect())
+            Err(faults.chain(settings_check.err().into_iter().flatten()).collect())
         }
     }
 }
 
-/// Keys that a reloaded file may lack.
-const OPTIONAL: [&str; 5] = ["known", "aimStretch", "passesDeadline", "warmKeys", "admin_addr"];
+/// Keys that a reloaded file may omit even if the running one has them.
+const OPTIONAL_KEYS: [&str; 5] = ["known", "aimStretch", "passesDeadline", "warmKeys", "admin_addr"];
 
-/// A key of the running file that a new one lacks, or has with a value of another type.
+/// A key of the running file that is missing in the new one, or has a value of another type there.
 #[derive(Debug, thiserror::Error)]
-#[error("'{path}' is missing or of another kind")]
+#[error("'{path}' is missing or has another type than in the running configuration")]
 struct IncompleteFile {
-    /// The key, with those above it, separated by dots.
+    /// The path of the key from the root of the file, separated by dots.
     path: String,
 }
 
-/// Checks that a file has all keys of the running one, with values of the same types. Each item of a list must have the
-/// keys that all items of the running file's list have.
+/// Checks that a new file has all keys of the running one, with values of the same types. Each object in a list must
+/// have the keys that all objects of the running file's list have in common.
 fn check_complete(running: &Value, new: &Value, path: &str) -> Result<(), IncompleteFile> {
     if running.is_null() {
         return Ok(());
@@ -104,7 +108,7 @@
         return Err(IncompleteFile { path: path.to_owned() });
     }
     for (key, value) in running.as_object().into_iter().flatten() {
-        if OPTIONAL.contains(&key.as_str()) {
+        if OPTIONAL_KEYS.contains(&key.as_str()) {
             continue;
         }
         let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
@@ -118,7 +122,8 @@
     Ok(())
 }
 
-/// The entries of the first item whose keys all items have; `None` if the items are no objects.
+/// The entries of the first item whose keys all items have; `None` if the list is empty or its first item is not an
+/// object.
 fn common_keys(items: &[Value]) -> Option<Value> {
     let (first, others) = items.split_first()?;
     let mut common = first.as_object()?.clone();
@@ -126,7 +131,7 @@
     Some(Value::Object(common))
 }
 
-/// Parses a file for a process that starts; settings that are missing have defaults.
+/// Parses a file for a starting process, which uses defaults for missing settings.
 pub(super) fn parse(text: &str) -> Result<Config, Fault> {
     let mut raw: Value = serde_json::from_str(text).map_err(|error| syntax_fault(&error))?;
     let file: File = serde_json::from_str(text).map_err(|error| syntax_fault(&error))?;
@@ -134,16 +139,16 @@
         entries.remove("known");
     }
     if !file.settings.is_object() {
-        return Err(fault("'settings' is no object".into()));
+        return Err(fault("'settings' is not an object".into()));
     }
     let (mut settings, names) = settings::parse(&file.settings);
     if settings.classes.is_empty() || names.classes.iter().any(String::is_empty) {
         return Err(fault("'settings' has no named classes".into()));
     }
-    // With a wrong index this proxy would claim another one's part of the capacity.
+    // With a wrong index this proxy would claim another proxy's share of the capacity.
     if settings.proxy_index >= settings.proxies {
         return Err(fault(format!(
-            "'settings': proxy number {} of {}",
+            "'settings': proxy number {} of {} (numbers start at 0)",
             settings.proxy_index, settings.proxies
         )));
     }
@@ -175,12 +180,14 @@
     })
 }
 
+/// The memory limit of the process, in bytes.
 fn max_memory(limits: &Limits) -> usize {
     let megabytes = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).clamp(MIN_MEMORY_MB, MAX_MEMORY_MB);
     (megabytes * BYTES_PER_MB) as usize
 }
 
-/// The seed of a number or a hexadecimal text; other text is hashed.
+/// The seed that a file gives as a whole number or as hexadecimal text; other text is hashed. `None` for any other
+/// value.
 fn seed(value: &Value) -> Option<u64> {
     match value {
         Value::String(text) => Some(u64::from_str_radix(text, 16).unwrap_or_else(|_| hash_name(text))),
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -1,37 +1,39 @@
-//! Configuration files of both forms: what is read, and which faults are reported.
+//! Tests of configuration files of both formats: what is read, and which faults are reported.
 
 use super::*;
 
-const SMALL: &str = "listen = \"127.0.0.1:0\"\n[[backends]]\naddress = \"127.0.0.1:9001\"\n";
+const MINIMAL: &str = "listen = \"127.0.0.1:0\"\n[[backends]]\naddress = \"127.0.0.1:9001\"\n";
 
-/// The faults of a file, as they are shown.
+/// The faults of a TOML text, as they are displayed.
 fn faults(text: &str) -> Vec<String> {
-    let shown = parse(text, "f").err().map(|faults| faults.to_string()).unwrap_or_default();
-    shown.lines().map(str::to_owned).collect()
+    let displayed = parse(text, "f").err().map(|faults| faults.to_string()).unwrap_or_default();
+    displayed.lines().map(str::to_owned).collect()
 }
 
 #[test]
-fn listener_and_backend_make_a_configuration() {
-    let config = parse(SMALL, "f").expect("good");
+fn listener_and_backend_are_a_valid_configuration() {
+    let config = parse(MINIMAL, "f").expect("valid");
     assert_eq!(config.names.classes, ["read", "write"]);
-    assert!(matches!(&config.source, Source::Fixed(hosts) if hosts[0].name == "127.0.0.1:9001"));
+    assert!(matches!(&config.source, Source::Fixed(endpoints) if endpoints[0].name == "127.0.0.1:9001"));
     assert!(matches!(config.dialect, Dialect::Plain(_)) && config.peers.is_none() && config.admin.is_none());
 }
 
 #[test]
 fn lists_of_a_large_fleet_are_read_completely() {
-    let of = |line: fn(usize) -> String| (0..1024).map(line).collect::<String>();
+    let repeated = |line: fn(usize) -> String| (0..1024).map(line).collect::<String>();
     let text = [
         "listen = \"127.0.0.1:0\"\nzone = \"z-1023\"\n".to_owned(),
-        of(|n| format!("[[backends]]\naddress = \"10.0.{}.{}:80\"\nzone = \"z-{n}\"\n", n / 256, n % 256)),
-        of(|n| format!("[[classes]]\nname = \"c-{n}\"\neffect = \"safe\"\ndeadline = \"1s\"\n")),
-        of(|n| format!("[[tenants]]\nname = \"t-{n}\"\nper_second = 1\n")),
+        repeated(|n| {
+            format!("[[backends]]\naddress = \"10.0.{}.{}:80\"\nzone = \"z-{n}\"\n", n / 256, n % 256)
+        }),
+        repeated(|n| format!("[[classes]]\nname = \"c-{n}\"\neffect = \"safe\"\ndeadline = \"1s\"\n")),
+        repeated(|n| format!("[[tenants]]\nname = \"t-{n}\"\nper_second = 1\n")),
         "[peers]\nme = 1023\naddresses = [\n".to_owned(),
-        of(|n| format!("\"10.1.{}.{}:80\",\n", n / 256, n % 256)),
+        repeated(|n| format!("\"10.1.{}.{}:80\",\n", n / 256, n % 256)),
         "]\n".to_owned(),
     ];
-    let config = parse(&text.concat(), "f").expect("good");
-    assert!(matches!(&config.source, Source::Fixed(hosts) if hosts.len() == 1024));
+    let config = parse(&text.concat(), "f").expect("valid");
+    assert!(matches!(&config.source, Source::Fixed(endpoints) if endpoints.len() == 1024));
     assert_eq!((config.settings.classes.len(), config.settings.tenants.len()), (1024, 1024));
     assert_eq!((config.settings.proxies, config.settings.proxy_index), (1024, 1023));
     assert_eq!(config.peers.expect("peers").peers.len(), 1024);
@@ -39,7 +41,7 @@
 
 #[test]
 fn example_has_every_key_and_no_fault() {
-    parse(EXAMPLE, "example").expect("good");
+    parse(EXAMPLE, "example").expect("valid");
     let markdown = markdown();
     for line in markdown.lines().filter_map(|line| line.strip_prefix("| `")) {
         let key = line.split('`').next().expect("a key");
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn all_faults_are_reported_at_once_with_their_places() {
+fn all_faults_are_reported_at_once_with_their_positions() {
     let text = "lisen = \"127.0.0.1:0\"\n[[backends]]\naddress = \"localhost:1\"\nweight = -1\nzone = 4\n\
         [[classes]]\nname = \"\"\neffect = \"often\"\ndeadline = 5\n[limits]\nmemory = \"much\"\nattempts = 0\n\
         [logging]\nformat = \"xml\"\naccess = 2\nfilter = \"a=b=c\"\n[admin]\nlisten = 7\n";
@@ -73,16 +75,16 @@
 
 #[test]
 fn faults_beyond_the_schema_are_reported() {
-    let class = |text: &str| format!("{SMALL}[[classes]]\nname = \"a\"\n{text}\n");
+    let class = |text: &str| format!("{MINIMAL}[[classes]]\nname = \"a\"\n{text}\n");
     for (text, expected) in [
         ("listen = \"127.0.0.1:0\"\n".to_owned(), "f:1:1: no backends: give [[backends]] or [discovery]"),
         (
-            format!("{SMALL}[discovery]\naddress = \"127.0.0.1:1\"\n"),
+            format!("{MINIMAL}[discovery]\naddress = \"127.0.0.1:1\"\n"),
             "f:4:2: give 'backends' or 'discovery', not both",
         ),
         (
-            format!("{SMALL}[[backends]]\naddress = \"127.0.0.1:9001\"\n"),
-            "f:4:1: '127.0.0.1:9001' stands twice among the backends",
+            format!("{MINIMAL}[[backends]]\naddress = \"127.0.0.1:9001\"\n"),
+            "f:4:1: '127.0.0.1:9001' is used twice in 'backends'",
         ),
         (
             class("effect = \"safe\"\ndeadline = \"1s\"\naim = \"2s\""),
@@ -92,8 +94,8 @@
         (class("effect = \"keyed\"\ndeadline = \"1s\""), "f:6:10: a keyed class needs a 'window'"),
         (class("effect = \"safe\""), "f:4:1: 'deadline' is missing"),
         (
-            format!("{SMALL}[peers]\naddresses = [\"127.0.0.1:1\"]\nme = 1\n"),
-            "f:6:6: proxy 1 of 1 (they count from 0)",
+            format!("{MINIMAL}[peers]\naddresses = [\"127.0.0.1:1\"]\nme = 1\n"),
+            "f:6:6: 'me' is 1, and has to be less than the number of addresses, 1",
         ),
     ] {
         assert_eq!(faults(&text), [expected], "{text}");
@@ -101,7 +103,7 @@
 }
 
 #[test]
-fn malformed_toml_is_reported_with_its_place() {
+fn malformed_toml_is_reported_with_its_position() {
     let reported = faults("listen = \"a\n[x");
     assert_eq!(reported.len(), 2, "{reported:?}");
     assert!(reported[0].starts_with("f:1:") && reported[1].starts_with("f:2:"), "{reported:?}");
@@ -127,8 +129,8 @@
 
 #[test]
 fn truncated_file_is_read_without_a_panic() {
-    for cut in (0..EXAMPLE.len()).filter(|cut| EXAMPLE.is_char_boundary(*cut)) {
-        let _ = parse(&EXAMPLE[..cut], "f");
+    for length in (0..EXAMPLE.len()).filter(|length| EXAMPLE.is_char_boundary(*length)) {
+        let _ = parse(&EXAMPLE[..length], "f");
     }
 }
 
@@ -142,8 +144,8 @@
 }
 
 #[test]
-fn key_is_explained_with_those_in_its_table() {
-    let text = explain("limits").expect("it is known");
+fn table_is_explained_with_all_its_keys() {
+    let text = explain("limits").expect("a known key");
     assert!(text.contains("limits.memory  (size, default \"256.0 MiB\")"), "{text}");
     assert!(explain("nothing.such").is_none());
 }
--- a/crates/proxy/src/config/values.rs
+++ b/crates/proxy/src/config/values.rs
@@ -1,4 +1,4 @@
-//! Values that a configuration file writes as text: addresses, durations, sizes, log filters.
+//! Values that are written as text in a configuration file: addresses, durations, sizes and log filters.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -7,17 +7,20 @@
 use schemars::{JsonSchema, Schema, SchemaGenerator, json_schema};
 use serde::{Deserialize, Serialize};
 
-/// Longest duration: a leap year.
+/// Longest duration that a file may give: a leap year.
 const MAX_DURATION: Duration = Duration::from_secs(366 * 24 * 3600);
 
-/// A format of text that the schema names.
+/// A text format that the schema refers to by name.
 pub struct TextFormat {
+    /// The name, as in the schema's keyword `format`.
     pub name: &'static str,
+    /// A valid text, which error messages show.
     pub example: &'static str,
+    /// Checks whether a text has this format.
     pub is_valid: fn(&str) -> bool,
 }
 
-/// All formats that the schema names.
+/// All text formats that the schema refers to.
 pub const FORMATS: [TextFormat; 4] = [
     TextFormat {
         name: "address",
@@ -33,7 +36,7 @@
     TextFormat { name: "filter", example: "info,leadrelay::access=off", is_valid: is_filter },
 ];
 
-/// Whether a text has levels, or `target=level` pairs, separated by commas.
+/// Whether a text is a list of levels and `target=level` pairs, separated by commas.
 fn is_filter(text: &str) -> bool {
     let is_level = |text: &str| text.trim().parse::<tracing::level_filters::LevelFilter>().is_ok();
     text.split(',').all(|part| match part.split_once('=') {
@@ -42,21 +45,22 @@
     })
 }
 
-/// A duration as people write it: `250ms`, `1s 500ms`, `2m`.
+/// Parses a duration such as `250ms`, `1s 500ms` or `2m`; `None` if it is malformed or longer than `MAX_DURATION`.
 fn parse_duration(text: &str) -> Option<Duration> {
     humantime::parse_duration(text).ok().filter(|duration| *duration <= MAX_DURATION)
 }
 
+/// Defines a type that wraps a value and is written as text: its parsing, its display, and its format in the schema.
 macro_rules! text_value {
-    ($(#[$doc:meta])* $name:ident($of:ty), $format:literal, $parse:expr, $show:expr) => {
+    ($(#[$doc:meta])* $name:ident($inner:ty), $format:literal, $parse:expr, $show:expr) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq)]
-        pub struct $name(pub $of);
+        pub struct $name(pub $inner);
 
         impl<'de> Deserialize<'de> for $name {
-            fn deserialize<D: serde::Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-                let text = Cow::<str>::deserialize(from)?;
-                let parse: fn(&str) -> Option<$of> = $parse;
+            fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                let text = Cow::<str>::deserialize(deserializer)?;
+                let parse: fn(&str) -> Option<$inner> = $parse;
                 parse(&text).map($name).ok_or_else(|| {
                     serde::de::Error::custom(format!("'{text}' is no {}", $format))
                 })
@@ -64,9 +68,9 @@
         }
 
         impl Serialize for $name {
-            fn serialize<S: serde::Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                let show: fn(&$of) -> String = $show;
-                to.serialize_str(&show(&self.0))
+            fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                let show: fn(&$inner) -> String = $show;
+                serializer.serialize_str(&show(&self.0))
             }
         }
 
@@ -87,18 +91,18 @@
 }
 
 text_value!(
-    /// Where to listen or to connect to: IP and port, `[::1]:8080` for IPv6. Names are not looked up.
+    /// An IP address and a port, such as `127.0.0.1:8080` or `[::1]:8080`. Host names are not supported.
     Address(SocketAddr),
     "address",
     |text| text.parse().ok(),
     |address| address.to_string()
 );
 text_value!(
-    /// A duration of a year at most.
-    Span(Duration),
+    /// A duration, at most `MAX_DURATION`.
+    DurationText(Duration),
     "duration",
     parse_duration,
-    |span| humantime::format_duration(*span).to_string()
+    |duration| humantime::format_duration(*duration).to_string()
 );
 text_value!(
     /// A number of bytes.
@@ -108,19 +112,19 @@
     |size| bytesize::ByteSize(*size).to_string()
 );
 
-impl Span {
-    /// A duration of so many seconds.
+impl DurationText {
+    /// A duration in seconds.
     pub const fn from_secs(seconds: u64) -> Self {
-        Span(Duration::from_secs(seconds))
+        DurationText(Duration::from_secs(seconds))
     }
 
-    /// In milliseconds.
+    /// The duration in milliseconds.
     pub fn ms(self) -> f64 {
         self.0.as_secs_f64() * 1000.0
     }
 }
 
-/// Levels by log target, as text.
+/// A log filter: levels and `target=level` pairs, separated by commas.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct FilterText(pub String);
