--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -168,7 +168,7 @@
 impl From<Peers> for PeerAddresses {
     fn from(peers: Peers) -> Self {
         let addresses: Vec<_> = peers.addresses.into_iter().map(|address| address.0).collect();
-        PeerAddresses { listen: addresses[peers.proxy_index as usize], peers: addresses, all: None }
+        PeerAddresses { listen: addresses[peers.proxy_index as usize], peers: addresses, broadcast: None }
     }
 }
 
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -49,7 +49,7 @@
     /// The address of each proxy, this one included, in the order of the proxies' indices.
     pub peers: Vec<SocketAddr>,
     /// An address that delivers a datagram to all other proxies, if the network provides one.
-    pub all: Option<SocketAddr>,
+    pub broadcast: Option<SocketAddr>,
 }
 
 /// The source of the endpoint list.
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -154,7 +154,7 @@
     }
     let peers = match (file.peer_listen, file.peers_all) {
         (Some(listen), Some(all)) if settings.gossip_enabled => {
-            Some(PeerAddresses { listen, peers: file.peers, all: Some(all) })
+            Some(PeerAddresses { listen, peers: file.peers, broadcast: Some(all) })
         }
         _ => None,
     };
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -43,7 +43,7 @@
             error!(bytes = message.len(), "gossip message not sent: too long");
             return;
         }
-        match self.addresses.all {
+        match self.addresses.broadcast {
             Some(all) => self.send(message, all),
             None => {
                 let own_address = self.addresses.listen;
