--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -9,7 +9,7 @@
 use leadrelay_core::{ClassId, Reconfiguration, RequestClass, Settings};
 use rustc_hash::FxHashSet;
 
-use crate::config::{Dialect, Plain, Route};
+use crate::config::{Dialect, HttpRules, Route};
 
 /// Maximum number of entries for classes of earlier configurations that open requests still use. The classes of the
 /// running configuration and of the new one have entries in addition, so that a reload accepts any file that a start
@@ -102,7 +102,7 @@
 
     /// Returns the class of the matching route with the longest path; if several paths are equally long, the first one
     /// is used.
-    pub fn route(&self, plain: &Plain, path: &str, method: &Method) -> Option<ClassHandle> {
+    pub fn route(&self, plain: &HttpRules, path: &str, method: &Method) -> Option<ClassHandle> {
         let matching = plain.routes.iter().filter(|route| matches(route, path, method));
         let best = matching.rev().max_by_key(|route| route.path.trim_end_matches('/').len())?;
         self.find(&best.class)
--- a/crates/proxy/src/classes/tests.rs
+++ b/crates/proxy/src/classes/tests.rs
@@ -99,7 +99,7 @@
     };
     let routes =
         vec![route("read", "/", &["GET"]), route("write", "/", &[]), route("orders", "/orders/", &["GET"])];
-    let plain = Plain { routes, ..Plain::default() };
+    let plain = HttpRules { routes, ..HttpRules::default() };
     let classes = Classes::new(&names, &settings.classes, &Dialect::Plain(plain.clone()));
     let class_of =
         |path: &str, method: Method| classes.route(&plain, path, &method).map(|class| class.name.to_string());
@@ -112,6 +112,6 @@
     ] {
         assert_eq!(class_of(path, method).as_deref(), Some(class), "{path}");
     }
-    let only_orders = Plain { routes: vec![route("orders", "/orders", &[])], ..Plain::default() };
+    let only_orders = HttpRules { routes: vec![route("orders", "/orders", &[])], ..HttpRules::default() };
     assert!(classes.route(&only_orders, "/other", &Method::GET).is_none());
 }
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -74,7 +74,7 @@
 
 /// The rules for reading requests that don't follow the operators' protocol.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Plain {
+pub struct HttpRules {
     /// The rules that assign requests to classes.
     pub routes: Vec<Route>,
     /// The path of the readiness check for load balancers in front of the proxy.
@@ -91,7 +91,7 @@
     Platform,
     /// Any HTTP/1.1 client. Configured routes assign requests to classes, and any response except a server error counts
     /// as served.
-    Plain(Plain),
+    Plain(HttpRules),
 }
 
 /// The format of a log event.
--- a/crates/proxy/src/head/plain.rs
+++ b/crates/proxy/src/head/plain.rs
@@ -9,7 +9,7 @@
 use super::RequestMeta;
 use super::fields::{affinity_key, number, single};
 use crate::classes::Classes;
-use crate::config::Plain;
+use crate::config::HttpRules;
 use crate::rejection::Rejection;
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -17,7 +17,8 @@
 /// Reads the head of a general HTTP/1.1 request. The header `Idempotency-Key` is mandatory for a class whose requests
 /// are idempotent with a key.
 pub(super) fn read(
-    classes: &Classes, plain: &Plain, method: &Method, uri: &Uri, headers: &HeaderMap, request_number: u64,
+    classes: &Classes, plain: &HttpRules, method: &Method, uri: &Uri, headers: &HeaderMap,
+    request_number: u64,
 ) -> Result<RequestMeta, Rejection> {
     if *method == Method::CONNECT || headers.contains_key(header::UPGRADE) {
         return Err(Rejection::TunnelOrUpgrade);
@@ -52,7 +53,7 @@
 }
 
 /// Returns the tenant that the head names; `None` if there is none or it is not configured.
-fn tenant(classes: &Classes, plain: &Plain, headers: &HeaderMap) -> Option<TenantId> {
+fn tenant(classes: &Classes, plain: &HttpRules, headers: &HeaderMap) -> Option<TenantId> {
     let name = printable(headers, &plain.tenant_header)?;
     let tenant = classes.tenants.iter().position(|tenant| tenant == name)?;
     Some(TenantId(tenant))
