--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -9,7 +9,7 @@
 use leadrelay_core::{ClassId, Reconfiguration, RequestClass, Settings};
 use rustc_hash::FxHashSet;
 
-use crate::config::{Dialect, HttpRules, Route};
+use crate::config::{ClientProtocol, HttpRules, Route};
 
 /// Maximum number of entries for classes of earlier configurations that open requests still use. The classes of the
 /// running configuration and of the new one have entries in addition, so that a reload accepts any file that a start
@@ -74,12 +74,12 @@
     entries: Vec<ClassEntry>,
     pub tenants: Vec<String>,
     /// How the class and other data of a request are read from its head.
-    pub dialect: Dialect,
+    pub dialect: ClientProtocol,
 }
 
 impl Classes {
     /// Creates entries for the classes of the first configuration.
-    pub fn new(names: &Names, rules: &[RequestClass], dialect: &Dialect) -> Self {
+    pub fn new(names: &Names, rules: &[RequestClass], dialect: &ClientProtocol) -> Self {
         let classes = names.classes.iter().zip(rules);
         Classes {
             entries: classes.map(|(name, rules)| ClassEntry::new(name, rules)).collect(),
@@ -123,7 +123,7 @@
     /// Replaces the configured classes by those of these settings. Returns the settings with all entries as their
     /// classes, so that the index of a class is that of its entry.
     pub fn reconfigure(
-        &mut self, names: &Names, mut settings: Settings, dialect: &Dialect,
+        &mut self, names: &Names, mut settings: Settings, dialect: &ClientProtocol,
     ) -> Result<Reconfiguration, TooManyFormerClasses> {
         if !self.has_capacity_for(names, &settings) {
             return Err(TooManyFormerClasses);
--- a/crates/proxy/src/classes/tests.rs
+++ b/crates/proxy/src/classes/tests.rs
@@ -13,7 +13,7 @@
 
 fn reconfigure(classes: &mut Classes, class_list: &[(&str, f64)]) -> Reconfiguration {
     let (settings, names) = parse(class_list);
-    classes.reconfigure(&names, settings, &Dialect::Platform).expect("there are enough entries")
+    classes.reconfigure(&names, settings, &ClientProtocol::Platform).expect("there are enough entries")
 }
 
 /// Guards against a reload that changes the rules of an open request, whose class is known by the index of its entry,
@@ -21,7 +21,7 @@
 #[test]
 fn entry_keeps_its_rules_while_a_request_uses_it() {
     let (settings, names) = parse(&[("a", 100.0), ("b", 200.0)]);
-    let mut classes = Classes::new(&names, &settings.classes, &Dialect::Platform);
+    let mut classes = Classes::new(&names, &settings.classes, &ClientProtocol::Platform);
     let open = classes.find("a").expect("a configured class");
     // The classes are reordered, and the rules of "a" change.
     let reconfiguration = reconfigure(&mut classes, &[("b", 200.0), ("a", 300.0)]);
@@ -52,7 +52,7 @@
 #[test]
 fn reload_accepts_as_many_classes_as_a_start() {
     let (settings, names) = parse(&[("a", 100.0)]);
-    let mut classes = Classes::new(&names, &settings.classes, &Dialect::Platform);
+    let mut classes = Classes::new(&names, &settings.classes, &ClientProtocol::Platform);
     let many: Vec<String> = (0..1024).map(|n| format!("c{n}")).collect();
     for deadline in [1.0, 2.0, 3.0, 4.0] {
         let class_list: Vec<(&str, f64)> = many.iter().map(|n| (n.as_str(), deadline)).collect();
@@ -67,7 +67,7 @@
 #[test]
 fn reload_with_too_many_former_classes_changes_nothing() {
     let (settings, names) = parse(&[("a", 100.0)]);
-    let mut classes = Classes::new(&names, &settings.classes, &Dialect::Platform);
+    let mut classes = Classes::new(&names, &settings.classes, &ClientProtocol::Platform);
     let many: Vec<String> = (0..MAX_FORMER_ENTRIES).map(|n| format!("c{n}")).collect();
     let with_deadline =
         |deadline: f64| -> Vec<(&str, f64)> { many.iter().map(|n| (n.as_str(), deadline)).collect() };
@@ -77,11 +77,11 @@
         open.push(many.iter().map(|n| classes.find(n).expect("a configured class")).collect::<Vec<_>>());
     }
     let (settings, names) = parse(&with_deadline(4.0));
-    assert!(classes.reconfigure(&names, settings.clone(), &Dialect::Platform).is_err());
+    assert!(classes.reconfigure(&names, settings.clone(), &ClientProtocol::Platform).is_err());
     assert_eq!(classes.find("c0").expect("a configured class").rules.deadline, 3.0);
     open.remove(0);
     classes
-        .reconfigure(&names, settings, &Dialect::Platform)
+        .reconfigure(&names, settings, &ClientProtocol::Platform)
         .expect("the requests of the first reload have ended");
     assert_eq!(classes.find("c0").expect("a configured class").rules.deadline, 4.0);
 }
@@ -100,7 +100,7 @@
     let routes =
         vec![route("read", "/", &["GET"]), route("write", "/", &[]), route("orders", "/orders/", &["GET"])];
     let plain = HttpRules { routes, ..HttpRules::default() };
-    let classes = Classes::new(&names, &settings.classes, &Dialect::Plain(plain.clone()));
+    let classes = Classes::new(&names, &settings.classes, &ClientProtocol::Plain(plain.clone()));
     let class_of =
         |path: &str, method: Method| classes.route(&plain, path, &method).map(|class| class.name.to_string());
     for (path, method, class) in [
--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -13,7 +13,7 @@
 use super::defaults;
 use super::schema::{Backend, Class, Effect, File, Peers, Scope};
 use crate::config::{
-    Config, Dialect, HttpRules, Logging, Origin, PeerAddresses, Route, Source, max_open_requests,
+    ClientProtocol, Config, HttpRules, Logging, Origin, PeerAddresses, Route, Source, max_open_requests,
 };
 use crate::listed_endpoint::{Health, ListedEndpoint};
 
@@ -32,7 +32,7 @@
         };
         let zone = file.zone.as_ref().map(|zone| ZoneId(intern(&mut names.zones, zone) as u32));
         let settings = settings(&file, zone);
-        let dialect = Dialect::Plain(HttpRules {
+        let dialect = ClientProtocol::Plain(HttpRules {
             routes: file.classes.into_iter().map(Route::from).collect(),
             up_path: file.up_path,
             tenant_header: file.tenant_header,
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -85,7 +85,7 @@
 
 /// The protocol of the clients. It decides how request heads are read and which responses count as served.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Dialect {
+pub enum ClientProtocol {
     /// The operators' protocol: the first path segment is the class, headers carry the request's id, tenant and
     /// time-out, and only status 200 counts as served.
     Platform,
@@ -160,7 +160,7 @@
     /// The time-outs of connections to backends.
     pub connections: ConnectionTimeouts,
     /// The protocol of the clients.
-    pub dialect: Dialect,
+    pub dialect: ClientProtocol,
     /// The settings of the log.
     pub logging: Logging,
     /// The format of the file that the configuration was read from.
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use super::fault::Fault;
-use super::{Config, Dialect, Logging, Origin, PeerAddresses, Source, max_open_requests};
+use super::{ClientProtocol, Config, Logging, Origin, PeerAddresses, Source, max_open_requests};
 
 /// Limit on sockets if the file gives none.
 const DEFAULT_SOCKETS: usize = 1024;
@@ -174,7 +174,7 @@
         connections: settings::parse_connection_timeouts(&file.settings),
         settings,
         names,
-        dialect: Dialect::Platform,
+        dialect: ClientProtocol::Platform,
         logging: Logging::default(),
         origin: Origin::Platform(raw),
     })
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -15,7 +15,11 @@
     let config = parse(MINIMAL, "f").expect("valid");
     assert_eq!(config.names.classes, ["read", "write"]);
     assert!(matches!(&config.source, Source::Fixed(endpoints) if endpoints[0].name == "127.0.0.1:9001"));
-    assert!(matches!(config.dialect, Dialect::Plain(_)) && config.peers.is_none() && config.admin.is_none());
+    assert!(
+        matches!(config.dialect, ClientProtocol::Plain(_))
+            && config.peers.is_none()
+            && config.admin.is_none()
+    );
 }
 
 #[test]
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -12,7 +12,7 @@
 use super::client::{Client, Stage};
 use crate::body_stream::BodyStream;
 use crate::cause::Cause;
-use crate::config::Dialect;
+use crate::config::ClientProtocol;
 use crate::inbox::FinalResponse;
 use crate::metrics::RequestTicket;
 use crate::rejection::Rejection;
@@ -89,8 +89,8 @@
     fn retry_after_header(&self, retry_after: Millis) -> Option<HeaderValue> {
         let seconds = retry_after / 1000.0;
         let text = match self.classes.borrow().dialect {
-            Dialect::Plain(_) => format!("{:.0}", seconds.ceil()),
-            Dialect::Platform => format!("{seconds:.3}"),
+            ClientProtocol::Plain(_) => format!("{:.0}", seconds.ceil()),
+            ClientProtocol::Platform => format!("{seconds:.3}"),
         };
         text.parse().ok()
     }
--- a/crates/proxy/src/frontend/service.rs
+++ b/crates/proxy/src/frontend/service.rs
@@ -12,7 +12,7 @@
 use super::received::ReceivedHead;
 use super::response::text_response;
 use crate::cause::Cause;
-use crate::config::Dialect;
+use crate::config::ClientProtocol;
 use crate::upstream::MessageBody;
 
 /// The path of the readiness check in the platform dialect.
@@ -63,8 +63,8 @@
     /// Whether a path is that of the readiness check, by which load balancers decide whether to send clients here.
     fn is_readiness_check(&self, path: &str) -> bool {
         match &self.classes.borrow().dialect {
-            Dialect::Platform => path == PLATFORM_READINESS_PATH,
-            Dialect::Plain(plain) => plain.up_path.as_deref() == Some(path),
+            ClientProtocol::Platform => path == PLATFORM_READINESS_PATH,
+            ClientProtocol::Plain(plain) => plain.up_path.as_deref() == Some(path),
         }
     }
 
--- a/crates/proxy/src/head.rs
+++ b/crates/proxy/src/head.rs
@@ -12,7 +12,7 @@
 use leadrelay_core::{AffinityKey, Millis, TenantId};
 
 use crate::classes::{ClassHandle, Classes};
-use crate::config::Dialect;
+use crate::config::ClientProtocol;
 use crate::rejection::Rejection;
 
 /// The data that is read from a request's head.
@@ -44,7 +44,7 @@
     classes: &Classes, method: &Method, uri: &Uri, headers: &HeaderMap, request_number: u64,
 ) -> Result<RequestMeta, Rejection> {
     match &classes.dialect {
-        Dialect::Platform => platform::read(classes, method, uri, headers),
-        Dialect::Plain(plain) => plain::read(classes, plain, method, uri, headers, request_number),
+        ClientProtocol::Platform => platform::read(classes, method, uri, headers),
+        ClientProtocol::Plain(plain) => plain::read(classes, plain, method, uri, headers, request_number),
     }
 }
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -17,7 +17,7 @@
 use crate::admin::{self, CommandRequest};
 use crate::body_memory::{BodyMemory, MemoryBudget};
 use crate::classes::Classes;
-use crate::config::{Config, Dialect, Source};
+use crate::config::{ClientProtocol, Config, Source};
 use crate::discovery::{self, DiscoveryCalls};
 use crate::driver::{Driver, DriverParts};
 use crate::error::{DriverEnd, Error};
@@ -181,7 +181,7 @@
 fn new_upstreams(config: &Config, max_connections: usize, metrics: &Arc<Metrics>) -> UpstreamPool {
     let new_budget = || MemoryBudget::new(config.max_memory / BODY_MEMORY_DIVISOR);
     let memory = BodyMemory { streamed: new_budget(), read_ahead: new_budget() };
-    let is_plain = matches!(config.dialect, Dialect::Plain(_));
+    let is_plain = matches!(config.dialect, ClientProtocol::Plain(_));
     UpstreamPool::new(&config.connections, max_connections, is_plain, metrics.clone(), memory)
 }
 
