--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -74,17 +74,17 @@
     entries: Vec<ClassEntry>,
     pub tenants: Vec<String>,
     /// How the class and other data of a request are read from its head.
-    pub dialect: ClientProtocol,
+    pub client_protocol: ClientProtocol,
 }
 
 impl Classes {
     /// Creates entries for the classes of the first configuration.
-    pub fn new(names: &Names, rules: &[RequestClass], dialect: &ClientProtocol) -> Self {
+    pub fn new(names: &Names, rules: &[RequestClass], client_protocol: &ClientProtocol) -> Self {
         let classes = names.classes.iter().zip(rules);
         Classes {
             entries: classes.map(|(name, rules)| ClassEntry::new(name, rules)).collect(),
             tenants: names.tenants.clone(),
-            dialect: dialect.clone(),
+            client_protocol: client_protocol.clone(),
         }
     }
 
@@ -123,14 +123,14 @@
     /// Replaces the configured classes by those of these settings. Returns the settings with all entries as their
     /// classes, so that the index of a class is that of its entry.
     pub fn reconfigure(
-        &mut self, names: &Names, mut settings: Settings, dialect: &ClientProtocol,
+        &mut self, names: &Names, mut settings: Settings, client_protocol: &ClientProtocol,
     ) -> Result<Reconfiguration, TooManyFormerClasses> {
         if !self.has_capacity_for(names, &settings) {
             return Err(TooManyFormerClasses);
         }
         let inherits_from = self.replace_classes(names, &settings.classes);
         self.tenants.clone_from(&names.tenants);
-        self.dialect.clone_from(dialect);
+        self.client_protocol.clone_from(client_protocol);
         settings.classes = self.entries.iter().map(|entry| entry.rules.clone()).collect();
         Ok(Reconfiguration {
             settings,
--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -32,7 +32,7 @@
         };
         let zone = file.zone.as_ref().map(|zone| ZoneId(intern(&mut names.zones, zone) as u32));
         let settings = settings(&file, zone);
-        let dialect = ClientProtocol::Plain(HttpRules {
+        let client_protocol = ClientProtocol::Plain(HttpRules {
             routes: file.classes.into_iter().map(Route::from).collect(),
             up_path: file.up_path,
             tenant_header: file.tenant_header,
@@ -57,7 +57,7 @@
             },
             settings,
             names,
-            dialect,
+            client_protocol,
             logging: Logging {
                 filter: file.logging.filter.0,
                 format: file.logging.format,
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -160,7 +160,7 @@
     /// The time-outs of connections to backends.
     pub connections: ConnectionTimeouts,
     /// The protocol of the clients.
-    pub dialect: ClientProtocol,
+    pub client_protocol: ClientProtocol,
     /// The settings of the log.
     pub logging: Logging,
     /// The format of the file that the configuration was read from.
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -174,7 +174,7 @@
         connections: settings::parse_connection_timeouts(&file.settings),
         settings,
         names,
-        dialect: ClientProtocol::Platform,
+        client_protocol: ClientProtocol::Platform,
         logging: Logging::default(),
         origin: Origin::Platform(raw),
     })
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -16,7 +16,7 @@
     assert_eq!(config.names.classes, ["read", "write"]);
     assert!(matches!(&config.source, Source::Fixed(endpoints) if endpoints[0].name == "127.0.0.1:9001"));
     assert!(
-        matches!(config.dialect, ClientProtocol::Plain(_))
+        matches!(config.client_protocol, ClientProtocol::Plain(_))
             && config.peers.is_none()
             && config.admin.is_none()
     );
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -88,7 +88,7 @@
     /// The value of `Retry-After`. Only the platform dialect allows fractions of a second.
     fn retry_after_header(&self, retry_after: Millis) -> Option<HeaderValue> {
         let seconds = retry_after / 1000.0;
-        let text = match self.classes.borrow().dialect {
+        let text = match self.classes.borrow().client_protocol {
             ClientProtocol::Plain(_) => format!("{:.0}", seconds.ceil()),
             ClientProtocol::Platform => format!("{seconds:.3}"),
         };
--- a/crates/proxy/src/frontend/service.rs
+++ b/crates/proxy/src/frontend/service.rs
@@ -62,7 +62,7 @@
 
     /// Whether a path is that of the readiness check, by which load balancers decide whether to send clients here.
     fn is_readiness_check(&self, path: &str) -> bool {
-        match &self.classes.borrow().dialect {
+        match &self.classes.borrow().client_protocol {
             ClientProtocol::Platform => path == PLATFORM_READINESS_PATH,
             ClientProtocol::Plain(plain) => plain.up_path.as_deref() == Some(path),
         }
--- a/crates/proxy/src/head.rs
+++ b/crates/proxy/src/head.rs
@@ -43,7 +43,7 @@
 pub fn read(
     classes: &Classes, method: &Method, uri: &Uri, headers: &HeaderMap, request_number: u64,
 ) -> Result<RequestMeta, Rejection> {
-    match &classes.dialect {
+    match &classes.client_protocol {
         ClientProtocol::Platform => platform::read(classes, method, uri, headers),
         ClientProtocol::Plain(plain) => plain::read(classes, plain, method, uri, headers, request_number),
     }
--- a/crates/proxy/src/server/reload.rs
+++ b/crates/proxy/src/server/reload.rs
@@ -74,7 +74,7 @@
             warn!("changes of listen, admin, limits, peers, zone and log filter require a restart");
         }
         let mut classes = self.classes.borrow_mut();
-        let balancer = classes.reconfigure(&new.names, new.settings.clone(), &new.dialect)?;
+        let balancer = classes.reconfigure(&new.names, new.settings.clone(), &new.client_protocol)?;
         drop(classes);
         for class in &new.names.classes {
             self.metrics.register_class(class);
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -64,7 +64,7 @@
 
 impl Shared {
     fn new(config: &Config, inbox: Inbox, metrics: Arc<Metrics>) -> Self {
-        let classes = Classes::new(&config.names, &config.settings.classes, &config.dialect);
+        let classes = Classes::new(&config.names, &config.settings.classes, &config.client_protocol);
         Shared {
             inbox,
             classes: Rc::new(RefCell::new(classes)),
@@ -181,7 +181,7 @@
 fn new_upstreams(config: &Config, max_connections: usize, metrics: &Arc<Metrics>) -> UpstreamPool {
     let new_budget = || MemoryBudget::new(config.max_memory / BODY_MEMORY_DIVISOR);
     let memory = BodyMemory { streamed: new_budget(), read_ahead: new_budget() };
-    let is_plain = matches!(config.dialect, ClientProtocol::Plain(_));
+    let is_plain = matches!(config.client_protocol, ClientProtocol::Plain(_));
     UpstreamPool::new(&config.connections, max_connections, is_plain, metrics.clone(), memory)
 }
 
