--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -34,7 +34,7 @@
         let settings = settings(&file, zone);
         let client_protocol = ClientProtocol::Plain(HttpRules {
             routes: file.classes.into_iter().map(Route::from).collect(),
-            up_path: file.up_path,
+            readiness_path: file.up_path,
             tenant_header: file.tenant_header,
         });
         let source = match file.discovery {
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -78,7 +78,7 @@
     /// The rules that assign requests to classes.
     pub routes: Vec<Route>,
     /// The path of the readiness check for load balancers in front of the proxy.
-    pub up_path: Option<String>,
+    pub readiness_path: Option<String>,
     /// The name of the request header that carries the tenant's name.
     pub tenant_header: String,
 }
--- a/crates/proxy/src/frontend/service.rs
+++ b/crates/proxy/src/frontend/service.rs
@@ -64,7 +64,7 @@
     fn is_readiness_check(&self, path: &str) -> bool {
         match &self.classes.borrow().client_protocol {
             ClientProtocol::Platform => path == PLATFORM_READINESS_PATH,
-            ClientProtocol::Plain(plain) => plain.up_path.as_deref() == Some(path),
+            ClientProtocol::Plain(plain) => plain.readiness_path.as_deref() == Some(path),
         }
     }
 
