--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::io::Write as _;
 
-use leadrelay_proxy::config::{self, Config, Fault, Faults, Source};
+use leadrelay_proxy::config::{self, Config, EndpointSource, Fault, Faults};
 use serde_json::{Value, json};
 
 use crate::args::{CheckArgs, ConfigCommand};
@@ -41,8 +41,8 @@
 
 fn print_summary(args: &CheckArgs, config: &Config) {
     let backends = match &config.source {
-        Source::Discovery(address) => format!("backends from discovery at {address}"),
-        Source::Fixed(hosts) => format!("{} backends", hosts.len()),
+        EndpointSource::Discovery(address) => format!("backends from discovery at {address}"),
+        EndpointSource::Fixed(hosts) => format!("{} backends", hosts.len()),
     };
     let file = args.file.display();
     let classes = config.names.classes.join(", ");
--- a/crates/proxy/src/config/file/convert.rs
+++ b/crates/proxy/src/config/file/convert.rs
@@ -13,7 +13,8 @@
 use super::defaults;
 use super::schema::{Backend, Class, Effect, File, Peers, Scope};
 use crate::config::{
-    ClientProtocol, Config, HttpRules, Logging, Origin, PeerAddresses, Route, Source, max_open_requests,
+    ClientProtocol, Config, EndpointSource, HttpRules, Logging, Origin, PeerAddresses, Route,
+    max_open_requests,
 };
 use crate::listed_endpoint::{Health, ListedEndpoint};
 
@@ -38,8 +39,8 @@
             tenant_header: file.tenant_header,
         });
         let source = match file.discovery {
-            Some(discovery) => Source::Discovery(discovery.address.0),
-            None => Source::Fixed(file.backends.iter().map(ListedEndpoint::from).collect()),
+            Some(discovery) => EndpointSource::Discovery(discovery.address.0),
+            None => EndpointSource::Fixed(file.backends.iter().map(ListedEndpoint::from).collect()),
         };
         Config {
             name: file.name,
--- a/crates/proxy/src/config/mod.rs
+++ b/crates/proxy/src/config/mod.rs
@@ -54,7 +54,7 @@
 
 /// The source of the endpoint list.
 #[derive(Clone, Debug)]
-pub enum Source {
+pub enum EndpointSource {
     /// A discovery service at this address.
     Discovery(SocketAddr),
     /// A fixed list in the configuration file.
@@ -142,7 +142,7 @@
     /// The address of the admin interface, if there is one.
     pub admin: Option<SocketAddr>,
     /// The source of the endpoint list.
-    pub source: Source,
+    pub source: EndpointSource,
     /// The seed of the random number generator.
     pub seed: u64,
     /// The number of file descriptors that the process may use.
--- a/crates/proxy/src/config/platform.rs
+++ b/crates/proxy/src/config/platform.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 
 use super::fault::Fault;
-use super::{ClientProtocol, Config, Logging, Origin, PeerAddresses, Source, max_open_requests};
+use super::{ClientProtocol, Config, EndpointSource, Logging, Origin, PeerAddresses, max_open_requests};
 
 /// Limit on sockets if the file gives none.
 const DEFAULT_SOCKETS: usize = 1024;
@@ -165,7 +165,7 @@
         name: file.name,
         listen: file.listen,
         admin: file.admin_addr,
-        source: Source::Discovery(file.discovery),
+        source: EndpointSource::Discovery(file.discovery),
         seed: seed(&file.seed).ok_or_else(|| fault("'seed' is neither text nor a whole number".into()))?,
         max_sockets,
         max_memory: max_memory(&file.limits),
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -14,7 +14,9 @@
 fn listener_and_backend_are_a_valid_configuration() {
     let config = parse(MINIMAL, "f").expect("valid");
     assert_eq!(config.names.classes, ["read", "write"]);
-    assert!(matches!(&config.source, Source::Fixed(endpoints) if endpoints[0].name == "127.0.0.1:9001"));
+    assert!(
+        matches!(&config.source, EndpointSource::Fixed(endpoints) if endpoints[0].name == "127.0.0.1:9001")
+    );
     assert!(
         matches!(config.client_protocol, ClientProtocol::Plain(_))
             && config.peers.is_none()
@@ -37,7 +39,7 @@
         "]\n".to_owned(),
     ];
     let config = parse(&text.concat(), "f").expect("valid");
-    assert!(matches!(&config.source, Source::Fixed(endpoints) if endpoints.len() == 1024));
+    assert!(matches!(&config.source, EndpointSource::Fixed(endpoints) if endpoints.len() == 1024));
     assert_eq!((config.settings.classes.len(), config.settings.tenants.len()), (1024, 1024));
     assert_eq!((config.settings.proxies, config.settings.proxy_index), (1024, 1023));
     assert_eq!(config.peers.expect("peers").peers.len(), 1024);
--- a/crates/proxy/src/server/reload.rs
+++ b/crates/proxy/src/server/reload.rs
@@ -12,7 +12,7 @@
 use tracing::{info, warn};
 
 use crate::classes::{Classes, TooManyFormerClasses};
-use crate::config::{self, Config, Faults, Origin, Source};
+use crate::config::{self, Config, EndpointSource, Faults, Origin};
 use crate::inbox::{Inbox, Input, ReloadedSettings};
 use crate::metrics::Metrics;
 
@@ -67,7 +67,8 @@
     fn reload(&mut self) -> Result<(), ReloadError> {
         let new = config::reread(&self.path, &self.running.origin)?;
         match (&new.source, &self.running.source) {
-            (Source::Discovery(_), Source::Discovery(_)) | (Source::Fixed(_), Source::Fixed(_)) => {}
+            (EndpointSource::Discovery(_), EndpointSource::Discovery(_))
+            | (EndpointSource::Fixed(_), EndpointSource::Fixed(_)) => {}
             _ => return Err(ReloadError::SourceChanged),
         }
         if matches!(new.origin, Origin::File) && needs_restart(&new, &self.running) {
@@ -88,15 +89,15 @@
         Ok(())
     }
 
-    fn apply_source(&self, source: &Source) {
+    fn apply_source(&self, source: &EndpointSource) {
         match source {
-            Source::Discovery(address) => {
+            EndpointSource::Discovery(address) => {
                 info!(%address, "discovery address reloaded");
                 if let Some(discovery_address) = &self.discovery_address {
                     discovery_address.send_if_modified(|old| std::mem::replace(old, *address) != *address);
                 }
             }
-            Source::Fixed(endpoints) => {
+            EndpointSource::Fixed(endpoints) => {
                 info!(endpoints = endpoints.len(), "fixed endpoint list reloaded");
                 let endpoints = endpoints.clone();
                 self.inbox.put(Input::EndpointList { scope: ListScope::Full, endpoints });
--- a/crates/proxy/src/server/run.rs
+++ b/crates/proxy/src/server/run.rs
@@ -17,7 +17,7 @@
 use crate::admin::{self, CommandRequest};
 use crate::body_memory::{BodyMemory, MemoryBudget};
 use crate::classes::Classes;
-use crate::config::{ClientProtocol, Config, Source};
+use crate::config::{ClientProtocol, Config, EndpointSource};
 use crate::discovery::{self, DiscoveryCalls};
 use crate::driver::{Driver, DriverParts};
 use crate::error::{DriverEnd, Error};
@@ -150,10 +150,12 @@
 }
 
 /// Creates the channel for the address of discovery, which a reload may change; `None` if the endpoint list is fixed.
-fn discovery_channel(source: &Source) -> Option<(watch::Sender<SocketAddr>, watch::Receiver<SocketAddr>)> {
+fn discovery_channel(
+    source: &EndpointSource,
+) -> Option<(watch::Sender<SocketAddr>, watch::Receiver<SocketAddr>)> {
     match source {
-        Source::Discovery(address) => Some(watch::channel(*address)),
-        Source::Fixed(_) => None,
+        EndpointSource::Discovery(address) => Some(watch::channel(*address)),
+        EndpointSource::Fixed(_) => None,
     }
 }
 
@@ -201,12 +203,16 @@
 /// Returns the endpoint list to start with. If a predecessor left a list, the result is `None`, as that list is applied
 /// with the rest of the predecessor's state; a fixed list from the configuration is always returned.
 fn initial_list(
-    source: Source, cached_list: &serde_json::Value, predecessor_state: Option<&SharedState>,
+    source: EndpointSource, cached_list: &serde_json::Value, predecessor_state: Option<&SharedState>,
 ) -> Option<(ListScope, Vec<ListedEndpoint>)> {
     match source {
-        Source::Fixed(endpoints) => Some((ListScope::Full, endpoints)),
-        Source::Discovery(_) if predecessor_state.is_some_and(|state| !state.endpoints.is_empty()) => None,
-        Source::Discovery(_) => {
+        EndpointSource::Fixed(endpoints) => Some((ListScope::Full, endpoints)),
+        EndpointSource::Discovery(_)
+            if predecessor_state.is_some_and(|state| !state.endpoints.is_empty()) =>
+        {
+            None
+        }
+        EndpointSource::Discovery(_) => {
             let cached = discovery::parse_cached_list(cached_list).unwrap_or_default();
             Some((ListScope::Cached, cached))
         }
