--- a/crates/proxy/src/config/explain.rs
+++ b/crates/proxy/src/config/explain.rs
@@ -128,8 +128,8 @@
 /// The start of the reference page.
 const MARKDOWN_HEAD: &str = "# Configuration\n\nGenerated from the schema by `leadrelay config markdown`; a test \
      checks that it is up to date. `leadrelay check FILE` reports all errors in a file at once, `leadrelay config \
-     example` prints a file that shows every key.\n\nA *duration* is written as `250ms`, `1s 500ms` or `2m`, an *address* as \
-     `127.0.0.1:8080`, a *size* as `64MiB`. Unknown keys are errors.\n";
+     example` prints a file that shows every key.\n\nA *duration* is written as `250ms`, `1s 500ms` or `2m`, an \
+     *address* as `127.0.0.1:8080`, a *size* as `64MiB`. Unknown keys are errors.\n";
 
 /// The reference page of the configuration, in Markdown.
 pub fn markdown() -> String {
