--- a/crates/sim-adapter/src/adapter.rs
+++ b/crates/sim-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The loop over batches: reads messages, hands them to instances and writes replies.
+//! The main loop: reads batches of messages, dispatches the messages to instances and writes the replies.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -11,43 +11,45 @@
 use crate::fields::Fields;
 use crate::instance::Instance;
 use crate::lines::{NumberedLine, NumberedLines};
-use crate::message::{InputMessage, InstanceMessage, Message};
+use crate::message::{EventMessage, InstanceMessage, Message};
 
-/// Bytes of the buffer before the output.
-const OUTPUT_BUFFER: usize = 64 << 10;
-/// What a line of a list begins with.
+/// Size of the output buffer in bytes.
+const OUTPUT_BUFFER_SIZE: usize = 64 << 10;
+/// Prefix of each line that holds an item of an endpoint list.
 const LIST_ITEM_PREFIX: &str = "ITEM\t";
 
 /// Reads batches and writes replies until the input ends.
 ///
 /// # Errors
-/// If a line can't be read or understood, if replies can't be written, or if the input ends inside a batch.
+/// Returns an error if a line cannot be read or parsed, if replies cannot be written, or if the input ends inside a
+/// batch.
 pub fn run(input: impl BufRead, output: impl Write) -> Result<(), Error> {
     let mut adapter = Adapter {
         lines: NumberedLines::new(input),
-        output: BufWriter::with_capacity(OUTPUT_BUFFER, output),
+        output: BufWriter::with_capacity(OUTPUT_BUFFER_SIZE, output),
         instances: BTreeMap::new(),
-        now: None,
-        reply: String::new(),
+        batch_time: None,
+        replies: String::new(),
     };
     while let Some(line) = adapter.lines.next()? {
         adapter.handle_line(&line)?;
     }
-    match adapter.now {
+    match adapter.batch_time {
         Some(_) => Err(Error::UnfinishedBatch),
         None => Ok(()),
     }
 }
 
+/// State of the main loop.
 struct Adapter<R, W: Write> {
     lines: NumberedLines<R>,
     output: BufWriter<W>,
-    /// Running proxies, by their numbers.
+    /// Running proxies by instance number.
     instances: BTreeMap<u64, Instance>,
-    /// The time of the batch that is open.
-    now: Option<f64>,
-    /// Replies to the batch that is open.
-    reply: String,
+    /// Time of the current batch in milliseconds; `None` between batches.
+    batch_time: Option<f64>,
+    /// Replies to the current batch, written to the output when the batch ends.
+    replies: String,
 }
 
 impl<R: BufRead, W: Write> Adapter<R, W> {
@@ -57,7 +59,7 @@
         let fields = Fields::parse(rest).map_err(at_line)?;
         match Message::from_wire(name) {
             Some(Message::BatchStart) => {
-                self.now = Some(fields.number("ts").map_err(at_line)?);
+                self.batch_time = Some(fields.number("ts").map_err(at_line)?);
                 Ok(())
             }
             Some(Message::BatchEnd) => self.end_batch().map_err(at_line),
@@ -66,13 +68,13 @@
         }
     }
 
-    /// Writes the replies to a batch.
+    /// Ends the current batch and writes its replies.
     fn end_batch(&mut self) -> Result<(), LineError> {
-        self.now.take().ok_or(LineError::GoWithoutFrame)?;
-        self.reply.push_str("EOR\n");
-        self.output.write_all(self.reply.as_bytes())?;
+        self.batch_time.take().ok_or(LineError::BatchEndWithoutStart)?;
+        self.replies.push_str("EOR\n");
+        self.output.write_all(self.replies.as_bytes())?;
         self.output.flush()?;
-        self.reply.clear();
+        self.replies.clear();
         Ok(())
     }
 
@@ -80,35 +82,35 @@
         &mut self, message: InstanceMessage, fields: &Fields, line_number: usize,
     ) -> Result<(), Error> {
         let at_line = |error: LineError| error.at_line(line_number);
-        let now = self.now.ok_or_else(|| at_line(LineError::OutsideBatch(message.wire_name())))?;
-        let number = fields.integer("i").map_err(at_line)?;
+        let now = self.batch_time.ok_or_else(|| at_line(LineError::OutsideBatch(message.wire_name())))?;
+        let instance_number = fields.integer("i").map_err(at_line)?;
         match message {
             InstanceMessage::Start => {
                 let instance = Instance::start(fields).map_err(at_line)?;
-                self.instances.insert(number, instance);
+                self.instances.insert(instance_number, instance);
                 Ok(())
             }
             InstanceMessage::Crash => {
-                self.instances.remove(&number);
+                self.instances.remove(&instance_number);
                 Ok(())
             }
-            InstanceMessage::Input(input) => {
-                let items = self.read_list_items(input, fields, line_number)?;
-                let Some(instance) = self.instances.get_mut(&number) else { return Ok(()) };
-                let event = instance.decode(input, fields, &items, line_number)?;
+            InstanceMessage::Event(event_message) => {
+                let items = self.read_list_items(event_message, fields, line_number)?;
+                let Some(instance) = self.instances.get_mut(&instance_number) else { return Ok(()) };
+                let event = instance.decode(event_message, fields, &items, line_number)?;
                 if let Some(event) = event {
-                    handle_event(instance, now, event, number, &mut self.reply);
+                    handle_event(instance, now, event, instance_number, &mut self.replies);
                 }
                 Ok(())
             }
         }
     }
 
-    /// Reads the lines of a list, without their prefix. Other messages have none.
+    /// Reads the item lines that follow an endpoint list and strips their prefix. Returns no items for other messages.
     fn read_list_items(
-        &mut self, message: InputMessage, fields: &Fields, line_number: usize,
+        &mut self, message: EventMessage, fields: &Fields, line_number: usize,
     ) -> Result<Vec<NumberedLine>, Error> {
-        if message != InputMessage::EndpointList {
+        if message != EventMessage::EndpointList {
             return Ok(Vec::new());
         }
         let at_line = |error: LineError| error.at_line(line_number);
@@ -126,14 +128,14 @@
     }
 }
 
-/// Lets an instance handle an event. A panic is reported in place of its replies.
-fn handle_event(instance: &mut Instance, now: f64, event: Event, number: u64, reply: &mut String) {
-    let length_before = reply.len();
-    let result = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, number, reply)));
+/// Lets an instance handle an event. If it panics, an `EXCEPTION` line replaces the replies to this event.
+fn handle_event(instance: &mut Instance, now: f64, event: Event, instance_number: u64, replies: &mut String) {
+    let length_before = replies.len();
+    let result = catch_unwind(AssertUnwindSafe(|| instance.handle(now, event, instance_number, replies)));
     if let Err(payload) = result {
-        reply.truncate(length_before);
+        replies.truncate(length_before);
         let message = panic_message(payload.as_ref()).replace(['\n', '\t', '\r'], " ");
-        reply.push_str(&format!("EXCEPTION\ti={number}\tmessage={message}\n"));
+        replies.push_str(&format!("EXCEPTION\ti={instance_number}\tmessage={message}\n"));
     }
 }
 
--- a/crates/sim-adapter/src/error.rs
+++ b/crates/sim-adapter/src/error.rs
@@ -1,54 +1,54 @@
-//! Why the adapter ends before its input does.
+//! Errors that end the adapter.
 
 use std::io;
 
-/// An error of the whole input, with the line where it was found.
+/// An error that ends the adapter, with the line number if a single line caused it.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A line can't be read, understood or answered.
+    /// A line could not be read or parsed, or its replies could not be written.
     #[error("line {number}: {error}")]
     Line {
-        /// The line, counted from 1.
+        /// The line number, counted from 1.
         number: usize,
-        /// What is wrong with it.
+        /// The cause of the error.
         error: LineError,
     },
-    /// The last batch has no `GO`.
-    #[error("the input ends inside a batch")]
+    /// The input ended before the `GO` message of the last batch.
+    #[error("the input ends inside a batch: GO is missing")]
     UnfinishedBatch,
 }
 
-/// What is wrong with one line.
+/// The cause of an error at one line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     #[error(transparent)]
     Io(#[from] io::Error),
-    #[error("'{0}' has no '='")]
+    #[error("field '{0}' has no '='")]
     FieldWithoutValue(String),
-    #[error("'{0}' is missing")]
+    #[error("field '{0}' is missing")]
     MissingField(&'static str),
-    #[error("'{name}={value}' is no number")]
+    #[error("field '{name}' is not a finite number: '{value}'")]
     InvalidNumber { name: &'static str, value: String },
-    #[error("'{name}={value}' is no whole number")]
+    #[error("field '{name}' is not an unsigned 64-bit integer: '{value}'")]
     InvalidInteger { name: &'static str, value: String },
-    #[error("settings: {0}")]
+    #[error("field 'params' is not valid JSON: {0}")]
     InvalidSettings(#[from] serde_json::Error),
-    #[error("class '{0}' is not in the settings")]
+    #[error("request class '{0}' is not in the settings")]
     UnknownClass(String),
-    #[error("'msg': {0}")]
+    #[error("field 'msg' is not valid Base64: {0}")]
     InvalidGossip(#[from] base64::DecodeError),
-    #[error("GO without FRAME")]
-    GoWithoutFrame,
-    #[error("{0} outside a batch")]
+    #[error("GO without a preceding FRAME")]
+    BatchEndWithoutStart,
+    #[error("message {0} outside a batch")]
     OutsideBatch(&'static str),
-    #[error("the list is cut short")]
+    #[error("the input ends inside an endpoint list")]
     TruncatedList,
-    #[error("a list line was expected")]
+    #[error("expected an ITEM line of the endpoint list")]
     ExpectedListItem,
 }
 
 impl LineError {
-    /// Adds the number of the line.
+    /// Adds the line number to the error.
     pub fn at_line(self, number: usize) -> Error {
         Error::Line { number, error: self }
     }
--- a/crates/sim-adapter/src/instance/decode.rs
+++ b/crates/sim-adapter/src/instance/decode.rs
@@ -1,4 +1,4 @@
-//! Messages of the wire, translated to events of the core.
+//! Translation of the simulator's messages to events of the core.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD as BASE64;
@@ -12,28 +12,29 @@
 use crate::error::{Error, LineError};
 use crate::fields::Fields;
 use crate::lines::NumberedLine;
-use crate::message::InputMessage;
+use crate::message::EventMessage;
 
-/// Stands for a gossip message without bytes.
+/// Placeholder in the `msg` field for a gossip message of zero bytes.
 const EMPTY_GOSSIP: &str = "-";
 
 impl WireNames {
-    /// Translates a message of one line.
+    /// Translates a message that consists of one line. Returns `None` for a message about a request that has been
+    /// removed.
     pub(super) fn decode(
-        &mut self, message: InputMessage, fields: &Fields,
+        &mut self, message: EventMessage, fields: &Fields,
     ) -> Result<Option<Event>, LineError> {
         match message {
-            InputMessage::EndpointList => Ok(None), // it has more than one line
-            InputMessage::Request => self.decode_request(fields).map(Some),
-            InputMessage::AttemptStarted => self.decode_attempt_started(fields),
-            InputMessage::AttemptEnded => self.decode_attempt_ended(fields),
-            InputMessage::ClientClosed => self.decode_client_closed(fields),
-            InputMessage::Timer => Ok(Some(Event::Timer(fields.integer("keyBack")?))),
-            InputMessage::Gossip => decode_gossip(fields).map(Some),
+            EventMessage::EndpointList => Ok(None), // spans several lines; see `decode_endpoint_list`
+            EventMessage::Request => self.decode_request(fields).map(Some),
+            EventMessage::AttemptStarted => self.decode_attempt_started(fields),
+            EventMessage::AttemptEnded => self.decode_attempt_ended(fields),
+            EventMessage::ClientClosed => self.decode_client_closed(fields),
+            EventMessage::Timer => Ok(Some(Event::Timer(fields.integer("keyBack")?))),
+            EventMessage::Gossip => decode_gossip(fields).map(Some),
         }
     }
 
-    /// Translates an endpoint list with its items; `None` for a scope that this version does not know.
+    /// Translates an endpoint list and its items. Returns `None` if this version does not know the scope of the list.
     pub(super) fn decode_endpoint_list(
         &mut self, fields: &Fields, items: &[NumberedLine], line_number: usize,
     ) -> Result<Option<Event>, Error> {
@@ -57,12 +58,12 @@
         let fields = Fields::parse(text)?;
         let name = fields.text("backend")?;
         let id = hash_name(name);
-        self.endpoints.entry(id).or_insert_with(|| name.to_owned());
+        self.endpoint_names.entry(id).or_insert_with(|| name.to_owned());
         let zone = fields.optional_text("failureDomain");
-        let zone = zone.map(|zone| ZoneId(intern(&mut self.settings.zones, zone) as u32));
+        let zone = zone.map(|zone| ZoneId(intern(&mut self.indexed_names.zones, zone) as u32));
         let machine_class = fields.optional_text("shape");
         let machine_class = machine_class
-            .map(|class| MachineClassId(intern(&mut self.settings.machine_classes, class) as u32));
+            .map(|class| MachineClassId(intern(&mut self.indexed_names.machine_classes, class) as u32));
         Ok(Endpoint {
             id: EndpointId(id),
             zone,
@@ -90,12 +91,12 @@
     }
 
     fn decode_class(&self, name: &str) -> Result<ClassId, LineError> {
-        let index = self.settings.classes.iter().position(|class| class == name);
+        let index = self.indexed_names.classes.iter().position(|class| class == name);
         index.map(ClassId).ok_or_else(|| LineError::UnknownClass(name.to_owned()))
     }
 
     fn tenant_id(&self, name: &str) -> Option<TenantId> {
-        self.settings.tenants.iter().position(|tenant| tenant == name).map(TenantId)
+        self.indexed_names.tenants.iter().position(|tenant| tenant == name).map(TenantId)
     }
 
     fn request_id(&self, fields: &Fields) -> Result<Option<RequestId>, LineError> {
@@ -137,7 +138,8 @@
     Ok(Event::Gossip { from: fields.integer("who")? as u32, bytes })
 }
 
-/// An unknown state counts as draining, so that nothing new goes there.
+/// Maps the `state` field to an endpoint state. Unknown states count as draining, so that the endpoint receives no new
+/// requests.
 fn decode_endpoint_state(state: Option<&str>) -> EndpointState {
     match state {
         Some("up") | None => EndpointState::Up,
@@ -146,7 +148,8 @@
     }
 }
 
-/// An unknown outcome counts as an error, after which the request may have run.
+/// Maps the `reason` field to an outcome. Unknown reasons count as errors, after which the request may have been
+/// executed.
 fn decode_outcome(reason: &str) -> Outcome {
     match reason {
         "completed" => Outcome::Served,
--- a/crates/sim-adapter/src/lines.rs
+++ b/crates/sim-adapter/src/lines.rs
@@ -1,4 +1,4 @@
-//! Numbered lines of the input.
+//! Reader for input lines with line numbers.
 
 use std::io::{self, BufRead};
 
@@ -6,26 +6,26 @@
 
 /// One line of the input.
 pub struct NumberedLine {
-    /// Its number, counted from 1.
+    /// The line number, counted from 1.
     pub number: usize,
-    /// Its text, without the line break.
+    /// The text of the line, without the line break.
     pub text: String,
 }
 
 /// Reads the input line by line.
 pub struct NumberedLines<R> {
     lines: io::Lines<R>,
-    /// The number of the last line that was read.
+    /// Number of the last line read, counted from 1; 0 before the first line.
     number: usize,
 }
 
 impl<R: BufRead> NumberedLines<R> {
-    /// Starts before the first line.
+    /// Creates a reader positioned before the first line.
     pub fn new(input: R) -> Self {
         NumberedLines { lines: input.lines(), number: 0 }
     }
 
-    /// The next line; `None` at the end of the input.
+    /// Reads the next line. Returns `None` at the end of the input.
     pub fn next(&mut self) -> Result<Option<NumberedLine>, Error> {
         let Some(line) = self.lines.next() else { return Ok(None) };
         self.number += 1;
--- a/crates/sim-adapter/src/main.rs
+++ b/crates/sim-adapter/src/main.rs
@@ -1,7 +1,9 @@
-//! The adapter between the operators' simulator wire and one [`leadrelay_core::Balancer`] per proxy.
+//! Adapter between the line protocol of the operators' simulator and one [`leadrelay_core::Balancer`] per simulated
+//! proxy.
 //!
-//! It translates and decides nothing. Instances share nothing. Lines come on standard input, replies go to standard
-//! output; what can't be read ends the process with a message on standard error.
+//! The adapter only translates: the balancers make all decisions. Instances share no state. The adapter reads messages
+//! from standard input and writes replies to standard output. On a line that it cannot read or parse, the process exits
+//! with a message on standard error.
 
 mod adapter;
 mod error;
--- a/crates/sim-adapter/src/message.rs
+++ b/crates/sim-adapter/src/message.rs
@@ -1,90 +1,92 @@
-//! Names of the messages that come on the wire.
+//! The messages that the simulator sends, and their names in its protocol.
 
-/// A message that this version reads.
+/// A message that this version supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A batch begins, with the time of all its messages.
+    /// A batch begins. The time in this message applies to all messages of the batch.
     BatchStart,
-    /// A batch ends; replies are due.
+    /// A batch ends, and the simulator expects the replies to it.
     BatchEnd,
-    /// A message for one proxy.
+    /// A message for one simulated proxy.
     Instance(InstanceMessage),
 }
 
-/// A message for one proxy.
+/// A message for one simulated proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceMessage {
     /// The proxy starts.
     Start,
-    /// The proxy ends without notice.
+    /// The proxy crashes without notice, and its instance is discarded.
     Crash,
-    /// Anything that goes to a running proxy.
-    Input(InputMessage),
+    /// A message for the balancer of a running proxy.
+    Event(EventMessage),
 }
 
-/// A message that becomes an event of a running proxy.
+/// A message that is translated to an event for the balancer of a running proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InputMessage {
-    /// The endpoint list, or changes of it.
+pub enum EventMessage {
+    /// The endpoint list or changes to it have arrived from discovery, or a call to discovery has failed.
     EndpointList,
-    /// A request of a client.
+    /// A client has sent a request.
     Request,
-    /// An attempt's connection has been established.
+    /// The connection of an attempt has been established.
     AttemptStarted,
     /// An attempt has ended.
     AttemptEnded,
     /// A client has closed its connection.
     ClientClosed,
-    /// A timer is due.
+    /// A timer has expired.
     Timer,
-    /// A gossip message of a peer.
+    /// A peer has sent a gossip message.
     Gossip,
 }
 
 impl Message {
-    /// The message of that name; `None` for those that this version does not know, which are skipped.
+    /// Returns the message with the given name, or `None` if this version does not know the name. The adapter skips
+    /// unknown messages.
     pub fn from_wire(name: &str) -> Option<Self> {
         Some(match name {
             "FRAME" => Message::BatchStart,
             "GO" => Message::BatchEnd,
             "UP" => Message::Instance(InstanceMessage::Start),
             "CRASH_NOW" => Message::Instance(InstanceMessage::Crash),
-            _ => Message::Instance(InstanceMessage::Input(InputMessage::from_wire(name)?)),
+            _ => Message::Instance(InstanceMessage::Event(EventMessage::from_wire(name)?)),
         })
     }
 }
 
 impl InstanceMessage {
-    /// Its name on the wire.
+    /// Returns the name of the message in the simulator's protocol.
     pub fn wire_name(self) -> &'static str {
         match self {
             InstanceMessage::Start => "UP",
             InstanceMessage::Crash => "CRASH_NOW",
-            InstanceMessage::Input(message) => message.wire_name(),
+            InstanceMessage::Event(message) => message.wire_name(),
         }
     }
 }
 
-impl InputMessage {
-    const ALL: [InputMessage; 7] = [
-        InputMessage::EndpointList,
-        InputMessage::Request,
-        InputMessage::AttemptStarted,
-        InputMessage::AttemptEnded,
-        InputMessage::ClientClosed,
-        InputMessage::Timer,
-        InputMessage::Gossip,
+impl EventMessage {
+    /// All messages of this type, for the lookup by name.
+    const ALL: [EventMessage; 7] = [
+        EventMessage::EndpointList,
+        EventMessage::Request,
+        EventMessage::AttemptStarted,
+        EventMessage::AttemptEnded,
+        EventMessage::ClientClosed,
+        EventMessage::Timer,
+        EventMessage::Gossip,
     ];
 
     fn wire_name(self) -> &'static str {
         match self {
-            InputMessage::EndpointList => "TOPOLOGY",
-            InputMessage::Request => "ARRIVAL",
-            InputMessage::AttemptStarted => "ESTABLISHED",
-            InputMessage::AttemptEnded => "OUTCOME",
-            InputMessage::ClientClosed => "HANGUP",
-            InputMessage::Timer => "DEADLINE_HIT",
-            InputMessage::Gossip => "NOTE_FROM",
+            EventMessage::EndpointList => "TOPOLOGY",
+            EventMessage::Request => "ARRIVAL",
+            EventMessage::AttemptStarted => "ESTABLISHED",
+            EventMessage::AttemptEnded => "OUTCOME",
+            EventMessage::ClientClosed => "HANGUP",
+            EventMessage::Timer => "DEADLINE_HIT",
+            EventMessage::Gossip => "NOTE_FROM",
         }
     }
 
