--- a/crates/cli/tests/bodies.rs
+++ b/crates/cli/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of all framings and sizes, in both directions.
+//! Request and response bodies of all framings and sizes.
 mod sockets;
 
 use std::io::{BufReader, Write};
@@ -6,7 +6,8 @@
 
 use sockets::*;
 
-const LONG_BODY: usize = 200_000;
+/// Length in bytes of a response body that the proxy streams.
+const STREAMED_BODY_BYTES: usize = 200_000;
 
 fn proxy_with_setup(backends: &[&Backend], setup: Setup) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
@@ -15,10 +16,10 @@
     (discovery, proxy)
 }
 
-/// A backend that writes the first half of a long response, and the second once a latch opens.
-fn in_halves(latch: &Latch) -> Backend {
-    let response = ok(&"x".repeat(LONG_BODY));
-    let (first, rest) = response.split_at(response.len() - LONG_BODY / 2);
+/// Returns a backend that writes all but the second half of a long body, and that half once the latch opens.
+fn backend_with_split_response(latch: &Latch) -> Backend {
+    let response = ok(&"x".repeat(STREAMED_BODY_BYTES));
+    let (first, rest) = response.split_at(response.len() - STREAMED_BODY_BYTES / 2);
     Backend::new(Reply::InParts(first.into(), latch.clone(), rest.into()))
 }
 
@@ -37,51 +38,58 @@
 #[test]
 fn responses_of_all_framings_are_forwarded() {
     let forms = [
-        "HTTP/1.1 200 OK\r\n\r\nits end ends it",
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nits\r\nC\r\n end ends it\r\n0\r\nX-T: y\r\n\r\n",
-        "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length:15\r\n\r\nits end ends it",
+        "HTTP/1.1 200 OK\r\n\r\nbody ends here!",
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nbod\r\nC\r\ny ends here!\r\n0\r\nX-T: y\r\n\r\n",
+        "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\ncontent-length:15\r\n\r\nbody ends here!",
     ];
     for form in forms {
         let backend = Backend::new(Reply::WriteAndClose(form.into()));
         let (_discovery, proxy) = proxy_with_setup(&[&backend], Setup::default());
         let response = proxy.client().request(&submit("r-1", "5", "x")).expect("a response");
-        assert_eq!((response.status(), response.text().as_str()), (200, "its end ends it"), "{form}");
+        assert_eq!((response.status(), response.text().as_str()), (200, "body ends here!"), "{form}");
     }
 }
 
 #[test]
 fn streamed_response_may_outlast_its_deadline() {
     let latch = Latch::default();
-    let never = Latch::default();
-    let halves = in_halves(&latch);
-    let silent = Backend::new(Reply::Delayed(never.clone(), ok("")));
-    let (discovery, proxy) = proxy_with_setup(&[&halves], Setup { deadline_ms: 300, ..Setup::default() });
+    let silent_latch = Latch::default();
+    let split_backend = backend_with_split_response(&latch);
+    let silent = Backend::new(Reply::Delayed(silent_latch.clone(), ok("")));
+    let (discovery, proxy) =
+        proxy_with_setup(&[&split_backend], Setup { deadline_ms: 300, ..Setup::default() });
     let mut client = proxy.client();
     client.send(&page("r-1"));
     let head = client.read_head();
     assert_eq!((head.status(), head.header("content-length")), (200, Some("200000")));
-    client.read(LONG_BODY / 2); // before the backend has written more
+    // The proxy forwards this half before the backend has written the other.
+    client.read(STREAMED_BODY_BYTES / 2);
     assert_eq!(proxy.stat("/pending"), 1);
-    // One that began later is over, by its deadline.
+    // A request that starts later and gets no response is over at its deadline.
     let silent_hosts = ["s-1", "s-2"].map(|name| host(name, silent.address, "up", 0));
     discovery.publish(&list(2, true, &silent_hosts));
     wait_for("the new list", || proxy.stat("/members") == 2);
     let other = proxy.client().request(&submit("r-2", "0.3", "x")).expect("a response");
     assert_eq!((other.status(), silent.requests().len()), (502, 1));
     latch.open();
-    assert!(client.read(LONG_BODY / 2).iter().all(|byte| *byte == b'x'));
-    wait_for("its end", || proxy.stat("/completed/page") == 1);
+    assert!(client.read(STREAMED_BODY_BYTES / 2).iter().all(|byte| *byte == b'x'));
+    wait_for("the response to end", || proxy.stat("/completed/page") == 1);
     assert_eq!(proxy.stat("/pending"), 0);
-    never.open();
+    silent_latch.open();
 }
 
+/// Guards against a retry after the client has received a part of the response: the connection to the client is closed
+/// before the body is complete.
 #[test]
 fn broken_streamed_response_is_not_retried() {
-    let response = ok(&"x".repeat(LONG_BODY));
+    let response = ok(&"x".repeat(STREAMED_BODY_BYTES));
     let cut = response[..response.len() - 1].to_owned();
     for cut in [
         cut,
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n{}", "x".repeat(LONG_BODY)),
+        format!(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n{}",
+            "x".repeat(STREAMED_BODY_BYTES)
+        ),
     ] {
         let backends =
             [Backend::new(Reply::WriteAndClose(cut.clone())), Backend::new(Reply::WriteAndClose(cut))];
@@ -92,10 +100,10 @@
         assert_eq!(head.status(), 200);
         let body = client.read_rest();
         match head.header("content-length") {
-            Some(_) => assert!(body.len() < LONG_BODY, "{}", body.len()),
+            Some(_) => assert!(body.len() < STREAMED_BODY_BYTES, "{}", body.len()),
             None => assert!(!body.ends_with(b"0\r\n\r\n")),
         }
-        wait_for("its failure", || proxy.stat("/failed/page") == 1);
+        wait_for("the request to fail", || proxy.stat("/failed/page") == 1);
         assert_eq!(backends.iter().map(|backend| backend.requests().len()).sum::<usize>(), 1);
     }
 }
@@ -103,15 +111,15 @@
 #[test]
 fn client_close_ends_streamed_response_at_backend() {
     let latch = Latch::default();
-    let halves = in_halves(&latch);
-    let (_discovery, proxy) = proxy_with_setup(&[&halves], Setup::default());
+    let split_backend = backend_with_split_response(&latch);
+    let (_discovery, proxy) = proxy_with_setup(&[&split_backend], Setup::default());
     let mut client = proxy.client();
     client.send(&page("r-1"));
-    client.read(LONG_BODY / 2);
+    client.read(STREAMED_BODY_BYTES / 2);
     drop(client);
-    wait_for("its end", || proxy.stat("/pending") == 0);
+    wait_for("the request to end", || proxy.stat("/pending") == 0);
     latch.open();
-    wait_for("the connection's end", || halves.closed() == 1);
+    wait_for("the connection to the backend to close", || split_backend.closed() == 1);
     assert_eq!(proxy.stat("/completed/page") + proxy.stat("/failed/page"), 0);
 }
 
@@ -132,7 +140,7 @@
         client.send(&"x".repeat(half));
         let (stream, _) = listener.accept().expect("an attempt");
         let mut reader = BufReader::with_capacity(1 << 20, stream);
-        // The backend has the head and a part while the client has not sent all.
+        // The backend receives the head and a part of the body before the client has sent the whole body.
         std::io::BufRead::fill_buf(&mut reader).expect("first bytes");
         if !has_length {
             client.send("\r\n1e8480\r\n");
@@ -147,7 +155,7 @@
             request.body[..half].iter().all(|byte| *byte == b'x')
                 && request.body[half..].iter().all(|byte| *byte == b'y')
         );
-        reader.get_mut().write_all(ok("done").as_bytes()).expect("it reads");
+        reader.get_mut().write_all(ok("done").as_bytes()).expect("the peer receives the bytes");
         assert_eq!(client.response().expect("a response").text(), "done");
     }
     assert_eq!(proxy.stat("/upstream_requests"), 2);
@@ -163,11 +171,12 @@
         client.send(&"x".repeat(sent));
         assert_eq!(client.last_response(), Some((408, true)), "after {sent} bytes");
     }
-    wait_for("their end", || proxy.stat("/pending") == 0);
-    assert!(backend.requests().is_empty(), "no backend got one whole");
+    wait_for("the requests to end", || proxy.stat("/pending") == 0);
+    assert!(backend.requests().is_empty(), "no backend received a complete request");
 }
 
-/// Guards against a stalled body whose client has its answer and that is counted as closed without one.
+/// Guards against counting a request as closed without a response although its client, which stalled within the body,
+/// got a 408.
 #[test]
 fn unfinished_body_violates_no_invariant() {
     let backend = Backend::new(Reply::Write(ok("")));
@@ -176,7 +185,7 @@
     client.send(&submit("r-1", "5", "").replace("Content-Length: 0", "Content-Length: 2000000"));
     client.send(&"x".repeat(1_000_000));
     assert_eq!(client.last_response(), Some((408, true)));
-    wait_for("its end", || proxy.stat("/pending") == 0);
+    wait_for("the request to end", || proxy.stat("/pending") == 0);
     let violations =
         "leadrelay_invariant_violations_total{invariant=\"answered_before_close\",layer=\"socket\"}";
     assert_eq!(proxy.metric(violations), 0);
@@ -191,7 +200,8 @@
     let mut client = proxy.client();
     client.send(head);
     for piece in body.as_bytes().chunks(1) {
-        std::thread::sleep(std::time::Duration::from_millis(80)); // a slow client, not a wait for something
+        // The pause simulates a slow client; it does not wait for an event.
+        std::thread::sleep(std::time::Duration::from_millis(80));
         client.send(std::str::from_utf8(piece).expect("a digit"));
     }
     assert_eq!(client.response().expect("a response").status(), 200);
--- a/crates/cli/tests/cancellation.rs
+++ b/crates/cli/tests/cancellation.rs
@@ -1,4 +1,4 @@
-//! Clients that cancel a request while it waits or is sent: nothing of it is sent any more.
+//! Clients that cancel a request while it is queued or being forwarded: the proxy sends no more of it to a backend.
 mod sockets;
 
 use std::io::Read;
@@ -7,6 +7,8 @@
 use sockets::cancellation::*;
 use sockets::*;
 
+/// The proxy is paused while the clients connect, send their requests and cancel, so it finds each request
+/// already cancelled.
 #[test]
 fn cancelled_in_the_accept_queue() {
     let backend = Backend::new(Reply::Write(ok("")));
@@ -51,8 +53,8 @@
 
 #[test]
 fn cancelled_while_body_is_received() {
-    // More of a body than is read ahead, which nobody takes as long as it waits. A close behind more than the system
-    // holds for the proxy can't be seen by anyone; a reset can.
+    // The client sends more of the body than the proxy reads ahead, and the rest stays unread while the request is
+    // queued. A close behind more bytes than the operating system buffers for the proxy can't be detected; a reset can.
     for (cancellation, sent) in [(Cancellation::Close, 180_000), (Cancellation::Reset, 1_000_000)] {
         let latch = Latch::default();
         let backend = delaying_backend(&latch, "r-held");
@@ -76,24 +78,28 @@
 
 #[test]
 fn cancelled_while_no_backend_is_available() {
-    // A listed backend that nobody answers at: the request waits for one that takes it.
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its own");
+    // The only listed backend is draining and has no listener: the request waits until another backend is available.
+    let unused_address =
+        TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("a local address");
     for cancellation in CANCELLATIONS {
-        let later = Backend::new(Reply::Write(ok("")));
-        let (discovery, proxy) = start_proxy_with_long_timeouts(&[host("s-0", nobody, "draining", 0)]);
+        let added_backend = Backend::new(Reply::Write(ok("")));
+        let (discovery, proxy) =
+            start_proxy_with_long_timeouts(&[host("s-0", unused_address, "draining", 0)]);
         let mut client = proxy.client();
         client.send(&with_long_timeout(&page("r-cancelled")));
         wait_for_pending(&proxy, 1);
         let _open = cancellation.cancel(client);
         wait_for_pending(&proxy, 0);
-        discovery.publish(&list(2, false, &[host("s-1", later.address, "up", 0)]));
+        discovery.publish(&list(2, false, &[host("s-1", added_backend.address, "up", 0)]));
         wait_for("the new backend", || {
             proxy.client().request(&page("r-last")).is_some_and(|response| response.status() == 200)
         });
-        assert!(request_ids(&later).iter().all(|id| id == "r-last"), "{cancellation:?}");
+        assert!(request_ids(&added_backend).iter().all(|id| id == "r-last"), "{cancellation:?}");
     }
 }
 
+/// Guards against sending a cancelled request when the paused proxy finds both the responses that free slots and the
+/// cancellation as it resumes.
 #[test]
 fn cancelled_as_a_slot_becomes_free() {
     for cancellation in CANCELLATIONS {
@@ -105,9 +111,9 @@
         client.send(&with_long_timeout(&page("r-cancelled")));
         wait_for_pending(&proxy, 13);
         proxy.pause();
-        let out = backend.requests().len(); // more may be on their way
+        let received = backend.requests().len(); // More requests may be on their way to the backend.
         latch.open();
-        wait_for("the answers", || backend.responses() >= out);
+        wait_for("the responses", || backend.responses() >= received);
         let _open = cancellation.cancel(client);
         proxy.resume();
         delayed
@@ -119,18 +125,20 @@
     }
 }
 
+/// Guards against sending the second pipelined request when the paused proxy finds both the first response and the
+/// cancellation as it resumes.
 #[test]
-fn pipelined_request_cancelled_as_the_first_is_answered() {
+fn pipelined_request_cancelled_as_first_response_arrives() {
     for cancellation in CANCELLATIONS {
         let latch = Latch::default();
         let backend = delaying_backend(&latch, "r-held");
         let (_discovery, proxy) = start_proxy_with_long_timeouts(&[host("s-0", backend.address, "up", 0)]);
         let mut client = proxy.client();
         client.send(&(submit("r-held", "60", "x") + &submit("r-cancelled", "60", "x")));
-        wait_for("the first", || backend.requests().len() == 1);
+        wait_for("the first request", || backend.requests().len() == 1);
         proxy.pause();
         latch.open();
-        wait_for("its response", || backend.responses() == 1);
+        wait_for("the first response", || backend.responses() == 1);
         let _open = cancellation.cancel(client);
         proxy.resume();
         wait_for_pending(&proxy, 0);
@@ -143,18 +151,22 @@
 fn cancelled_while_body_is_streamed() {
     for cancellation in [Cancellation::Close, Cancellation::Reset, Cancellation::ShutDownWrite] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (_discovery, proxy) =
-            start_proxy_with_long_timeouts(&[host("s-0", listener.local_addr().expect("its own"), "up", 0)]);
+        let (_discovery, proxy) = start_proxy_with_long_timeouts(&[host(
+            "s-0",
+            listener.local_addr().expect("a local address"),
+            "up",
+            0,
+        )]);
         let mut client = proxy.client();
         client.send(&submit("r-cancelled", "60", "").replace("Length: 0", "Length: 9000000"));
         client.send(&"x".repeat(300_000));
         let (mut connection, _) = listener.accept().expect("the attempt");
-        connection.set_read_timeout(Some(LIMIT)).expect("a time-out");
-        connection.read_exact(&mut [0; 100_000]).expect("a part of it");
+        connection.set_read_timeout(Some(LIMIT)).expect("the read timeout is set");
+        connection.read_exact(&mut [0; 100_000]).expect("a part of the body");
         let _open = cancellation.cancel(client);
         let mut rest = Vec::new();
-        let _ = connection.read_to_end(&mut rest); // it may end as a reset
-        assert!(rest.len() <= 300_000, "{cancellation:?}: not whole, {} bytes more", rest.len());
+        let _ = connection.read_to_end(&mut rest); // The connection may end with a reset.
+        assert!(rest.len() <= 300_000, "{cancellation:?}: {} bytes after the cancellation", rest.len());
         wait_for_pending(&proxy, 0);
     }
 }
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as a user meets it: what it prints and how it exits.
+//! The command-line interface: output and exit codes.
 mod sockets;
 
 use std::io::{BufRead, BufReader, Write};
@@ -8,7 +8,7 @@
 
 use sockets::*;
 
-/// A file that is removed with the test.
+/// A configuration file that is removed when the value is dropped.
 struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
@@ -34,7 +34,7 @@
     let file = |listen: &str, more: &str| {
         TemporaryFile::new(&format!("listen = \"{listen}\"\n[[backends]]\naddress = \"127.0.0.1:1\"\n{more}"))
     };
-    for (file, code, word) in [
+    for (file, code, expected) in [
         (file(&taken.to_string(), ""), 1, format!("cannot listen on {taken}")),
         (
             file("127.0.0.1:0", &format!("[admin]\nlisten = \"{taken}\"\n")),
@@ -54,7 +54,7 @@
         let message = text(&run.stderr);
         assert_eq!(run.status.code(), Some(code), "{message}");
         let messages = message.lines().filter(|line| line.starts_with("leadrelay: ")).count();
-        assert!(message.contains(&word) && messages == 1, "{message}");
+        assert!(message.contains(&expected) && messages == 1, "{message}");
     }
     for args in [
         &["serve"][..],
@@ -84,8 +84,8 @@
     );
     assert_eq!((run.status.code(), text(&run.stderr)), (Some(2), expected));
     let run = leadrelay(&["check", "--json", path]);
-    let faults: serde_json::Value = serde_json::from_slice(&run.stdout).expect("JSON");
-    assert_eq!((run.status.code(), faults[1]["line"].as_u64()), (Some(2), Some(3)));
+    let errors: serde_json::Value = serde_json::from_slice(&run.stdout).expect("JSON");
+    assert_eq!((run.status.code(), errors[1]["line"].as_u64()), (Some(2), Some(3)));
     let example = TemporaryFile::new(&text(&leadrelay(&["config", "example"]).stdout));
     let run = leadrelay(&["check", example.path()]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
@@ -95,7 +95,7 @@
 fn readme_configuration_is_valid() {
     let readme = include_str!("../../../README.md");
     let (_, rest) = readme.split_once("```toml\n").expect("an example");
-    let (toml, _) = rest.split_once("```").expect("its end");
+    let (toml, _) = rest.split_once("```").expect("the end of the example");
     let file = TemporaryFile::new(toml);
     let run = leadrelay(&["check", file.path()]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
@@ -109,32 +109,38 @@
         .args(["serve", "--config", file.path(), "--log", "trace"])
         .stderr(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the program starts");
     let mut log = BufReader::new(child.stderr.take().expect("piped"));
     let address = loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).expect("a line") > 0, "it listens");
+        assert!(
+            log.read_line(&mut line).expect("a line") > 0,
+            "the proxy logs its address before its log ends"
+        );
         if let Some((_, rest)) = line.split_once("listen=") {
             break rest.split_whitespace().next().expect("an address").to_owned();
         }
     };
-    // From here on the pipe fills up and stays full.
-    let mut stream = BufReader::new(TcpStream::connect(address).expect("it accepts"));
-    stream.get_ref().set_read_timeout(Some(LIMIT)).expect("a time-out");
+    // Nothing reads the log from here on, so the pipe fills up and stays full.
+    let mut stream = BufReader::new(TcpStream::connect(address).expect("the proxy accepts the connection"));
+    stream.get_ref().set_read_timeout(Some(LIMIT)).expect("the read timeout is set");
     let name = "x".repeat(8000);
     for number in 0..300 {
         let request = format!("GET /{number} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}{number}\r\n\r\n");
-        stream.get_mut().write_all(request.as_bytes()).expect("it reads");
+        stream.get_mut().write_all(request.as_bytes()).expect("the peer receives the bytes");
         assert_eq!(read_message(&mut stream).expect("a response").status(), 200);
     }
-    drop(log); // and a log whose reader has gone
+    drop(log); // The proxy also goes on serving once the reader of its log has closed the pipe.
     for _ in 0..50 {
-        stream.get_mut().write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n").expect("it reads");
+        stream
+            .get_mut()
+            .write_all(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+            .expect("the peer receives the bytes");
         assert_eq!(read_message(&mut stream).expect("a response").status(), 200);
     }
-    assert!(child.try_wait().expect("a child").is_none(), "it runs on");
-    child.kill().expect("it runs");
-    child.wait().expect("it ends");
+    assert!(child.try_wait().expect("a child").is_none(), "the proxy is still running");
+    child.kill().expect("the proxy is running");
+    child.wait().expect("the program exits");
 }
 
 #[test]
@@ -189,11 +195,14 @@
         .arg("demo")
         .stdout(Stdio::piped())
         .spawn()
-        .expect("it starts");
+        .expect("the program starts");
     let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines().map_while(Result::ok);
-    assert!(lines.any(|line| line.contains("threshold:")), "a line a second where there is no terminal");
+    assert!(
+        lines.any(|line| line.contains("threshold:")),
+        "a line a second on an output that is not a terminal"
+    );
     let pid = child.id().to_string();
     assert!(Command::new("kill").args(["-INT", &pid]).status().expect("kill runs").success());
     assert!(lines.any(|line| line.contains("requests: in time")), "a summary");
-    assert_eq!(child.wait().expect("it ends").code(), Some(0));
+    assert_eq!(child.wait().expect("the program exits").code(), Some(0));
 }
--- a/crates/cli/tests/client_requests.rs
+++ b/crates/cli/tests/client_requests.rs
@@ -1,4 +1,4 @@
-//! Malformed, slow and unfinished requests, and more clients than a proxy can hold.
+//! Malformed, slow and incomplete requests, and more client connections than the descriptor limit allows.
 mod sockets;
 
 use std::io::Write;
@@ -40,12 +40,14 @@
     assert!(proxy.is_running());
 }
 
+/// Guards against request smuggling: with another length than the one the proxy uses, the body contains a second
+/// request.
 #[test]
 fn conflicting_lengths_hide_no_second_request() {
     let backend = Backend::new(Reply::Write(ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
-    let hidden = submit("r-hidden", "5", "x");
-    let good = submit("r-1", "5", &format!("0\r\n\r\n{hidden}"));
+    let hidden_request = submit("r-hidden", "5", "x");
+    let good = submit("r-1", "5", &format!("0\r\n\r\n{hidden_request}"));
     let length = good.lines().find(|line| line.starts_with("Content-Length")).unwrap().to_owned();
     let with = |lines: &str| good.replace(&length, lines);
     let cases = [
@@ -81,7 +83,7 @@
     for (head, expected) in cases {
         let mut client = proxy.client();
         client.send(&head);
-        // It reads only once it has sent all it wants to send.
+        // The client reads only after it has sent all its bytes.
         (0..60).for_each(|_| client.send(&"x".repeat(1_000_000)));
         client.shut_down_write();
         assert_eq!(client.last_response(), Some((expected, true)), "{head}");
@@ -90,7 +92,7 @@
 }
 
 #[test]
-fn slow_client_blocks_nobody() {
+fn slow_client_does_not_block_others() {
     let backend = Backend::new(Reply::Write(ok("")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     let mut slow = TcpStream::connect(proxy.address).unwrap();
@@ -99,9 +101,9 @@
     slow.write_all(start.as_bytes()).unwrap();
     let _silent = TcpStream::connect(proxy.address).unwrap();
     assert_eq!(status(proxy.client().request(&page("r-1"))), 200);
-    assert_eq!(backend.requests().len(), 1, "a request goes on only once it is whole");
+    assert_eq!(backend.requests().len(), 1, "a request is forwarded only once it is complete");
     slow.write_all(rest.as_bytes()).unwrap();
-    wait_for("the slow one", || backend.requests().len() == 2);
+    wait_for("the slow request", || backend.requests().len() == 2);
     assert_eq!(backend.requests()[1].body, b"body");
 }
 
@@ -113,10 +115,11 @@
     for sent in ["", "GET /page HTTP/1.1\r\nHost", &whole[..whole.len() - 2]] {
         let mut client = proxy.client();
         client.send(sent);
-        let end = client.last_response(); // nothing where nothing came, else an error, and then the end
-        assert_eq!(end, (!sent.is_empty()).then_some((408, true)), "{sent}");
+        // The proxy closes the connection: without a response if nothing was sent, otherwise after a 408.
+        let response = client.last_response();
+        assert_eq!(response, (!sent.is_empty()).then_some((408, true)), "{sent}");
     }
-    // A later request that never ends, on a connection that has carried a response.
+    // An incomplete second request, on a connection that has already carried a response.
     let mut client = proxy.client();
     assert_eq!(status(client.request(&page("r-2"))), 200);
     client.send("GET /pa");
@@ -125,12 +128,12 @@
 }
 
 #[test]
-fn unfinished_requests_give_way_to_others() {
+fn unfinished_requests_do_not_block_others() {
     let backend = Backend::new(Reply::Write(ok("")));
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::start_ready(&discovery, &Setup { max_descriptors: 64, ..Setup::default() });
-    // More than the budget allows, and none of them ever finishes its head.
+    // More connections than the descriptor budget allows, none of which ever completes its request head.
     let _stuck: Vec<TcpStream> = (0..40)
         .map(|_| {
             let mut stream = TcpStream::connect(proxy.address).unwrap();
@@ -138,13 +141,13 @@
             stream
         })
         .collect();
-    wait_for("room for a whole request", || {
+    wait_for("a descriptor for a complete request", || {
         proxy.client().request(&page("r-1")).is_some_and(|response| response.status() == 200)
     });
 }
 
 #[test]
-fn silent_connections_block_nobody() {
+fn silent_connections_do_not_block_others() {
     let backend = Backend::new(Reply::Write(ok("")));
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[&backend]));
@@ -158,7 +161,7 @@
     let backend = Backend::new(Reply::Write(ok("")));
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[&backend]));
-    // Once by its own budget, once by the system's limit, where accepting fails.
+    // The first proxy reaches its configured budget, the second the operating system's limit, where `accept` fails.
     for setup in [
         Setup { max_descriptors: 64, ..Setup::default() },
         Setup { max_descriptors: 1024, descriptor_limit: Some(24), ..Setup::default() },
@@ -173,7 +176,7 @@
             assert!(status == 200 || status == 503, "{status}");
         }
         assert!(proxy.is_running());
-        wait_for("service as before", || {
+        wait_for("requests to be served again", || {
             proxy.client().request(&page("r-x")).is_some_and(|response| response.status() == 200)
         });
     }
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery that moves, restarts, breaks off or is overloaded, where lists are polled.
+//! A discovery service that moves, restarts, ends its watches or is overloaded, with lists that are polled.
 mod sockets;
 
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 
 use sockets::*;
 
-/// A proxy that polls its lists.
-fn polling_proxy(address: SocketAddr, known: &str) -> (String, Proxy) {
-    let setup = Setup { cached_list: known.into(), ..Setup::default() };
+/// Starts a proxy that polls its lists, with this cached list. Returns its configuration and the proxy.
+fn polling_proxy(address: SocketAddr, cached_list: &str) -> (String, Proxy) {
+    let setup = Setup { cached_list: cached_list.into(), ..Setup::default() };
     let text = config(address, &setup).replace(r#""discovery":"pushed""#, r#""discovery":"on_request""#);
     let proxy = Proxy::start_with_config(&text, &setup);
     (text, proxy)
@@ -24,7 +24,7 @@
     proxy.client().request(&text).expect("a response").status()
 }
 
-/// Waits until a proxy sends nothing any more to its only backend.
+/// Waits until a proxy sends no more requests to its only backend.
 fn wait_for_drain(proxy: &Proxy) {
     let mut number = 0;
     wait_for("the drain", || {
@@ -51,7 +51,7 @@
     proxy.reload(&text.replace(&old.address.to_string(), &new.address.to_string()));
     wait_for_drain(&proxy);
     assert!(new.lines()[1].contains("watch=1&after=1 "), "{:?}", new.lines());
-    assert_eq!(old.count(), 1, "the old address is called no more");
+    assert_eq!(old.count(), 1, "the old address is no longer called");
 }
 
 #[test]
@@ -71,17 +71,19 @@
     assert_eq!((old.count(), new.count()), (1, 3));
 }
 
+/// Guards against a proxy that gives up a call to an overloaded discovery service before its turn, and so never
+/// gets a list.
 #[test]
 fn queued_discovery_call_is_not_cancelled() {
     let backend = Backend::new(Reply::Write(ok("")));
     let line = list_of_one(1, true, &backend, "up");
-    // A service that answers whoever has waited for 1.6 s, and nobody sooner.
+    // The service responds to each call after 1.6 s.
     let busy = ScriptedDiscovery::new(move |_| {
         ScriptedResponse::Send(Duration::from_millis(1600), vec![line.clone()])
     });
     let (_, proxy) = polling_proxy(busy.address, "null");
     wait_for("/up", || proxy.is_up());
-    assert_eq!(busy.count(), 1, "its turn came, as nobody had given it up");
+    assert_eq!(busy.count(), 1, "the proxy waited for its first call");
     assert_eq!(status(&proxy, "r-1"), 200);
 }
 
@@ -118,17 +120,19 @@
     assert!(lines[1].contains("after=41") && !lines[2].contains("after"), "{lines:?}");
 }
 
-/// After this time a change counts as known that discovery could have published.
+/// Time after which a change that a silent discovery may have published counts as known to the proxy.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// The same after a move.
+/// Time after a move to another discovery address by which such a change counts as known to the proxy.
 const NOTIFICATION_TIMEOUT_AFTER_MOVE: Duration = Duration::from_secs(4);
 
-/// The grace of the test's settings after a drain counts as known, and the slack of the rule.
+/// Time for which requests may still be sent to a backend after its drain counts as known: the grace period of the test
+/// settings, plus a tolerance.
 const GRACE: Duration = Duration::from_millis(550);
 
-/// Sends requests to a proxy until it rejects one. Returns when the last request that it has served was sent.
-fn served_until(proxy: &Proxy) -> (Instant, Message) {
+/// Sends requests to a proxy until it rejects one. Returns the time at which the last served request was sent, and the
+/// rejection.
+fn send_until_rejected(proxy: &Proxy) -> (Instant, Message) {
     let mut last = Instant::now();
     let mut number = 0;
     loop {
@@ -146,10 +150,10 @@
 }
 
 #[test]
-fn silent_discovery_ends_sends_before_a_hidden_drain_counts() {
+fn silent_discovery_ends_sends_before_a_missed_drain_counts() {
     let backend = Backend::new(Reply::Write(ok("")));
     let line = list_of_one(1, true, &backend, "up");
-    // The first watch falls silent right after its list; later calls are accepted and never answered.
+    // The first watch sends nothing after its list; later calls are accepted and get no response.
     let silent = ScriptedDiscovery::new(move |call| match call {
         0 => ScriptedResponse::Silence(vec![line.clone()]),
         _ => ScriptedResponse::Silence(Vec::new()),
@@ -157,7 +161,7 @@
     let (_, proxy) = polling_proxy(silent.address, "null");
     wait_for("/up", || proxy.is_up());
     let received_at = Instant::now();
-    let (last, refusal) = served_until(&proxy);
+    let (last, rejection) = send_until_rejected(&proxy);
     assert!(
         last.duration_since(received_at) < NOTIFICATION_TIMEOUT + GRACE,
         "served {:?} later",
@@ -165,11 +169,11 @@
     );
     assert!(
         last.duration_since(received_at) > NOTIFICATION_TIMEOUT - Duration::from_secs(1),
-        "no sooner than needed"
+        "requests are served until shortly before the timeout"
     );
-    assert_eq!(refusal.status(), 503);
-    assert!(refusal.header("retry-after").is_some(), "{refusal:?}");
-    assert!(silent.count() > 1, "it has tried to hear discovery again");
+    assert_eq!(rejection.status(), 503);
+    assert!(rejection.header("retry-after").is_some(), "{rejection:?}");
+    assert!(silent.count() > 1, "the proxy has called discovery again");
 }
 
 #[test]
@@ -193,39 +197,39 @@
     let backend = Backend::new(Reply::Write(ok("")));
     let first = list_of_one(1, true, &backend, "up");
     let old = ScriptedDiscovery::new(move |_| ScriptedResponse::Send(Duration::ZERO, vec![first.clone()]));
-    // Connections to it don't come up.
+    // Connections to the new address are never established.
     let new = full_listener();
     let address = new.0.local_addr().expect("an address");
     let (text, proxy) = polling_proxy(old.address, "null");
     wait_for("/up", || proxy.is_up());
     let moved_at = Instant::now();
     proxy.reload(&text.replace(&old.address.to_string(), &address.to_string()));
-    let (last, refusal) = served_until(&proxy);
+    let (last, rejection) = send_until_rejected(&proxy);
     assert!(
         last.duration_since(moved_at) < NOTIFICATION_TIMEOUT_AFTER_MOVE + GRACE,
         "served {:?} later",
         last.duration_since(moved_at)
     );
-    assert_eq!(refusal.status(), 503);
+    assert_eq!(rejection.status(), 503);
 }
 
 #[test]
 fn new_process_without_pushed_list_rejects_soon() {
     let backend = Backend::new(Reply::Write(ok("")));
-    let hangs = full_listener();
+    let unresponsive = full_listener();
     let setup = Setup { cached_list: list_of_one(1, true, &backend, "up"), ..Setup::default() };
     let started_at = Instant::now();
-    let proxy = Proxy::start_with_discovery_at(hangs.0.local_addr().expect("an address"), &setup);
+    let proxy = Proxy::start_with_discovery_at(unresponsive.0.local_addr().expect("an address"), &setup);
     wait_for("/up", || proxy.is_up());
-    let (last, refusal) = served_until(&proxy);
+    let (last, rejection) = send_until_rejected(&proxy);
     let served_for = last.duration_since(started_at);
     assert!(served_for < GRACE || backend.requests().is_empty(), "served for {served_for:?}");
-    assert_eq!(refusal.status(), 503);
-    assert!(refusal.header("retry-after").is_some(), "{refusal:?}");
+    assert_eq!(rejection.status(), 503);
+    assert!(rejection.header("retry-after").is_some(), "{rejection:?}");
 }
 
-/// A proxy gets a list that can't be used, and another one by the next call. Asserts that it serves by the last good
-/// one in between, asks for what follows that, and logs the error once.
+/// Gives a proxy an invalid list, and a valid one at its next call. Asserts that the proxy uses the last valid list in
+/// between, resumes the watch from that version, and logs the error once.
 fn assert_list_is_skipped(broken: String, expected: &str) {
     let old = Backend::new(Reply::Write(ok("old")));
     let new = Backend::new(Reply::Write(ok("new")));
@@ -236,7 +240,7 @@
         _ => ScriptedResponse::Send(Duration::from_millis(1500), next.clone()),
     });
     let (_, proxy) = polling_proxy(discovery.address, "null");
-    let log = || proxy.log.lock().expect("no panic").clone();
+    let log = || proxy.log.lock().expect("no thread has panicked").clone();
     wait_for("the error", || log().contains(expected));
     wait_for("/up", || proxy.is_up());
     let text = |id: &str| proxy.client().request(&page(id)).expect("a response").text();
@@ -244,17 +248,18 @@
     wait_for("the new list", || text("r-after") == "new");
     let resumed = discovery.lines()[1].clone();
     assert!(resumed.contains("watch=1&after=1 "), "{expected}: {resumed}");
-    let named = log().lines().filter(|line| line.contains(expected)).map(str::to_owned).collect::<Vec<_>>();
-    assert_eq!(named.len(), 1, "told once: {named:?}");
-    assert!(named[0].contains(&format!("address={}", discovery.address)), "{named:?}");
-    assert!(named[0].contains("version=1"), "{named:?}");
+    let error_lines =
+        log().lines().filter(|line| line.contains(expected)).map(str::to_owned).collect::<Vec<_>>();
+    assert_eq!(error_lines.len(), 1, "logged once: {error_lines:?}");
+    assert!(error_lines[0].contains(&format!("address={}", discovery.address)), "{error_lines:?}");
+    assert!(error_lines[0].contains("version=1"), "{error_lines:?}");
 }
 
 #[test]
-fn unusable_list_ends_call_and_last_good_one_stays() {
-    let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let good = host("s-1", nobody, "up", 0);
-    let entries = |odd: &str| list(2, false, &[good.clone(), odd.to_owned()]);
+fn invalid_list_ends_call_and_last_valid_list_stays() {
+    let unused_address: SocketAddr = "127.0.0.1:9".parse().expect("an address");
+    let good = host("s-1", unused_address, "up", 0);
+    let entries = |second_entry: &str| list(2, false, &[good.clone(), second_entry.to_owned()]);
     let cases = [
         (entries(r#"{"host":3}"#), "entry 2: no 'host'"),
         (entries("null"), "entry 2: no 'host'"),
@@ -263,7 +268,7 @@
             "backend s-odd: no address in 'dial'",
         ),
         (entries(r#"{"host":"s-odd","dial":"127.0.0.1:9","health":"new"}"#), "backend s-odd: unknown health"),
-        (entries(&host("s-1", nobody, "draining", 0)), "backend s-1 is listed twice"),
+        (entries(&host("s-1", unused_address, "draining", 0)), "backend s-1 is listed twice"),
         (r#"{"seq":2,"whole":false}"#.into(), "not a list"),
         ("[]".into(), "unexpected text between objects"),
         (format!("{{{}}}", " ".repeat(5 << 20)), "an object of more than"),
--- a/crates/cli/tests/forwarding.rs
+++ b/crates/cli/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! What goes through a proxy unchanged, and what clients get from the proxy itself.
+//! Requests and responses that the proxy forwards unchanged, and responses that it sends itself.
 mod sockets;
 
 use std::time::Duration;
@@ -23,9 +23,9 @@
         ("r-1", Some("k-1"), "body")
     );
     assert_eq!((seen.header("host"), seen.header("x-hop")), (Some("origin.svc"), None));
-    let left: f64 = seen.header("x-timeout").expect("a time").parse().expect("a number");
-    assert!(left > 0.0 && left <= 3.5, "{left}");
-    // The connections on both sides are used again.
+    let remaining: f64 = seen.header("x-timeout").expect("a time").parse().expect("a number");
+    assert!(remaining > 0.0 && remaining <= 3.5, "{remaining}");
+    // The connections to the client and to the backend are reused.
     assert_eq!(status(client.request(&page("r-2"))), 200);
     assert_eq!(backend.requests().len(), 2);
     assert_eq!(backend.accepted(), 1);
@@ -36,18 +36,18 @@
     let backend = Backend::new(Reply::Write(empty("503 Busy\r\nX-Not-Processed: 1")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     let response = proxy.client().request(&submit("r-1", "5", "x")).expect("a response");
-    let after: f64 = response.header("retry-after").expect("a time").parse().expect("a number");
-    assert!(response.status() == 503 && after > 0.0 && after <= 6.0, "{after}");
+    let retry_after: f64 = response.header("retry-after").expect("a time").parse().expect("a number");
+    assert!(response.status() == 503 && retry_after > 0.0 && retry_after <= 6.0, "{retry_after}");
 }
 
 #[test]
-fn open_request_id_is_rejected_until_its_end() {
+fn duplicate_request_id_is_rejected_while_the_first_is_pending() {
     let latch = Latch::default();
     let backend = Backend::new(Reply::Delayed(latch.clone(), ok("first")));
     let (_discovery, proxy) = proxy_with(&[&backend]);
     let mut first = proxy.client();
     first.send(&submit("r-1", "5", "x"));
-    wait_for("the first", || backend.requests().len() == 1);
+    wait_for("the first request", || backend.requests().len() == 1);
     assert_eq!(status(proxy.client().request(&submit("r-1", "5", "y"))), 409);
     latch.open();
     assert_eq!(first.response().expect("a response").text(), "first");
@@ -83,11 +83,12 @@
     let mut client = proxy.client();
     assert_eq!(status(client.request(&submit("r-held", "0.5", "x"))), 502);
     wait_for("the request", || backend.requests().len() == 1);
-    std::thread::sleep(Duration::from_millis(100)); // the failure goes out a little before the attempt ends
+    // The client gets the failure shortly before the attempt ends.
+    std::thread::sleep(Duration::from_millis(100));
     latch.open();
-    // Its connection is not used again, and the client gets the next response and no other.
+    // The late response is discarded with its connection, and the client gets the response to its next request.
     assert_eq!(client.request(&page("r-next")).expect("a response").text(), "prompt");
-    wait_for("the connection's end", || backend.closed() == 1);
+    wait_for("the connection to close", || backend.closed() == 1);
 }
 
 #[test]
@@ -97,20 +98,20 @@
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::start_ready(&discovery, &Setup { has_admin: true, ..Setup::default() });
-    // Enough to fill the backend's slots, so that the last ones wait in the proxy.
+    // Twelve requests fill the backend's slots, so that the last ones wait in the proxy's queue.
     let mut clients: Vec<Client> = (0..12).map(|_| proxy.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         client.send(&submit(&format!("r-{number}"), "5", "x"));
     }
-    wait_for("all of them", || proxy.stat("/pending") == 12);
-    wait_for("the first", || !backend.requests().is_empty());
+    wait_for("all requests", || proxy.stat("/pending") == 12);
+    wait_for("the first request", || !backend.requests().is_empty());
     for client in &mut clients {
         client.shut_down_write();
-        assert!(client.is_closed(), "no response is due");
+        assert!(client.is_closed(), "a cancelled request gets no response");
     }
-    wait_for("their end", || proxy.stat("/pending") == 0);
+    wait_for("the requests to end", || proxy.stat("/pending") == 0);
     let mut before = 0;
-    wait_for("what had been written until then", || {
+    wait_for("the requests sent before the cancellation", || {
         before = proxy.stat("/upstream_requests") as usize;
         backend.requests().len() == before
     });
