--- a/crates/cli/tests/idempotency_window.rs
+++ b/crates/cli/tests/idempotency_window.rs
@@ -1,4 +1,5 @@
-//! Repeats of keyed requests: backends drop them only for a while after the first attempt was sent.
+//! Retries of requests with an idempotency key: backends discard a repeated key only within the idempotency window, a
+//! limited time after the first attempt was sent.
 mod sockets;
 
 use std::io::{BufReader, Read, Write};
@@ -8,7 +9,7 @@
 
 use sockets::*;
 
-/// For how long backends of a cell drop repeats.
+/// The idempotency window of this test: how long the backends of a cell discard requests with a repeated key.
 const WINDOW: Duration = Duration::from_millis(1500);
 
 fn booking(id: &str) -> String {
@@ -18,12 +19,15 @@
     )
 }
 
-/// A booking whose first attempt may have run, and whose retry waits for a connection to another backend of the cell.
+/// A booking whose first attempt may have run, and whose retry waits for a connection to another backend of the same
+/// cell.
 struct PendingRetry {
     client: Client,
     /// When the first attempt had reached its backend.
-    first_at: Instant,
+    first_received_at: Instant,
+    /// The other backend. Its accept queue is full, so that the connection for the retry is not established.
     second: TcpListener,
+    /// The connection that fills the accept queue.
     filler: std::net::TcpStream,
     _proxy: Proxy,
     _discovery: Discovery,
@@ -44,34 +48,35 @@
         let mut client = proxy.client();
         client.send(&booking("r-1"));
         wait_for("the first attempt", || first.requests().len() == 1);
-        let first_at = Instant::now();
+        let first_received_at = Instant::now();
         let address = second.local_addr().expect("an address");
         discovery.publish(&list(2, false, &[host("s-1", address, "up", 0)]));
-        wait_for("two members", || proxy.stat("/members") == 2);
+        wait_for("two backends", || proxy.stat("/members") == 2);
         let dials = proxy.dials();
         latch.open();
-        wait_for("a second dial", || proxy.dials() > dials);
-        PendingRetry { client, first_at, second, filler, _proxy: proxy, _discovery: discovery }
+        wait_for("a connection attempt to the second backend", || proxy.dials() > dials);
+        PendingRetry { client, first_received_at, second, filler, _proxy: proxy, _discovery: discovery }
     }
 }
 
+/// Guards against a retry that reaches a backend when it no longer recognizes the key, and would run the request twice.
 #[test]
 fn retry_after_idempotency_window_is_not_sent() {
     let mut retry = PendingRetry::new();
-    // The system's time alone decides: the window is over, however busy the machine.
-    while retry.first_at.elapsed() <= WINDOW {
+    // This waits until the window is over by the clock, so that the outcome doesn't depend on the load of the machine.
+    while retry.first_received_at.elapsed() <= WINDOW {
         std::thread::sleep(Duration::from_millis(10));
     }
-    // The proxy may give the connection up before it is accepted, or close it unused.
+    // The proxy may abandon the connection before it is accepted, or close it without a request.
     let received = Arc::<Mutex<Vec<u8>>>::default();
-    let into = received.clone();
+    let received_copy = received.clone();
     let PendingRetry { second, filler, .. } = retry;
     std::thread::spawn(move || {
-        let late = accept_connecting(&second, &filler);
-        BufReader::new(late)
+        let connection = accept_connecting(&second, &filler);
+        BufReader::new(connection)
             .bytes()
             .map_while(Result::ok)
-            .for_each(|byte| into.lock().expect("no panic").push(byte));
+            .for_each(|byte| received_copy.lock().expect("no panic").push(byte));
     });
     assert_eq!(retry.client.response().expect("a response").status(), 502);
     let received = received.lock().expect("no panic");
@@ -82,9 +87,12 @@
 fn retry_within_idempotency_window_is_sent() {
     let mut retry = PendingRetry::new();
     let connection = accept_connecting(&retry.second, &retry.filler);
-    assert!(retry.first_at.elapsed() < WINDOW, "too slow a machine to tell");
+    assert!(
+        retry.first_received_at.elapsed() < WINDOW,
+        "the machine is too slow for this test: the window is over"
+    );
     let mut reader = BufReader::new(connection);
     assert_eq!(read_message(&mut reader).expect("the retry").id(), "r-1");
-    reader.get_mut().write_all(ok("again").as_bytes()).expect("it reads");
+    reader.get_mut().write_all(ok("again").as_bytes()).expect("the proxy reads");
     assert_eq!(retry.client.response().expect("a response").text(), "again");
 }
--- a/crates/cli/tests/idle_connections.rs
+++ b/crates/cli/tests/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Idle connections of clients that the proxy closes, and requests that cross the close.
+//! Idle client connections that the proxy closes, and requests that are on their way at that moment.
 mod sockets;
 
 use std::io::{Read, Write};
@@ -6,35 +6,37 @@
 
 use sockets::*;
 
-/// An idle connection: its first request has been answered.
+/// A client connection that is idle after the response to its first request.
 fn idle_connection(proxy: &Proxy) -> Client {
     let mut client = proxy.client();
     assert_eq!(status(client.request(&page("r-first"))), 200);
     client
 }
 
-/// Sends a request on a connection that the proxy has closed; whether it is reset before the proxy has ended.
+/// Sends a request on a connection that the proxy has closed. Returns whether the connection is reset before the proxy
+/// exits.
 fn is_reset_by_request(client: Client, proxy: &mut Proxy) -> bool {
     let mut stream: TcpStream = client.into_stream();
-    assert_eq!(stream.read(&mut [0]).expect("the proxy's end"), 0);
-    stream.write_all(page("r-crossing").as_bytes()).expect("this side is open");
+    assert_eq!(stream.read(&mut [0]).expect("the proxy has closed its side"), 0);
+    stream.write_all(page("r-crossing").as_bytes()).expect("the client's side is open");
     let mut is_reset = false;
-    wait_for("a reset or the proxy's end", || {
-        // A read only tells the end that came first.
+    wait_for("a reset or the exit of the proxy", || {
+        // A read would only report the end of the stream, which came before the reset.
         is_reset = stream.take_error().expect("an open socket").is_some();
         is_reset || !proxy.is_running()
     });
     is_reset
 }
 
-/// Guards against requests that are read and dropped after the close of an idle connection.
+/// Guards against a request that arrives after the proxy has closed the idle connection, and that the proxy reads and
+/// drops: without a reset, its client would wait for a response in vain.
 #[test]
 fn request_after_close_at_sigterm_is_reset() {
     let backend = Backend::new(Reply::Write(ok("")));
     let (_discovery, mut proxy) = proxy_with(&[&backend]);
     let client = idle_connection(&proxy);
     proxy.terminate();
-    assert!(is_reset_by_request(client, &mut proxy), "the client waits for nothing");
+    assert!(is_reset_by_request(client, &mut proxy), "the client would wait in vain");
     assert_eq!(backend.requests().len(), 1);
 }
 
@@ -52,9 +54,10 @@
     assert!(client.is_closed());
 }
 
-/// Guards against a client that leaves between two requests and is counted as closed by the proxy.
+/// Guards against a wrong reason in the metric: a connection that its client closes between two requests must not count
+/// as closed by the proxy.
 #[test]
-fn close_by_idle_client_is_counted_as_its_own() {
+fn close_by_idle_client_is_counted_as_by_client() {
     let backend = Backend::new(Reply::Write(ok("")));
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[&backend]));
@@ -64,6 +67,6 @@
     };
     wait_for("readiness", || proxy.admin_call("GET /healthcheck").status() == 200);
     drop(idle_connection(&proxy));
-    wait_for("a close", || closed("by_client") + closed("with_answer") == 1);
+    wait_for("a counted close", || closed("by_client") + closed("with_answer") == 1);
     assert_eq!((closed("by_client"), closed("with_answer")), (1, 0));
 }
--- a/crates/cli/tests/large_fleets.rs
+++ b/crates/cli/tests/large_fleets.rs
@@ -10,52 +10,54 @@
 /// The number of proxies, backends, zones, machine classes and request classes.
 const FLEET_SIZE: usize = 1024;
 
-/// The address of a proxy: one loopback address for each, all with one port.
+/// The gossip address of a proxy: each proxy has its own loopback address, and all use the same port.
 fn peer(number: usize, port: u16) -> SocketAddr {
     let [high, low] = (number as u16).to_be_bytes();
     (Ipv4Addr::new(127, 94, high, low), port).into()
 }
 
-/// The first of the 16-bit names by which datagrams name a backend.
-fn wire_name(host: &str) -> u16 {
+/// The 16-bit name that stands for a backend in gossip datagrams, unless another backend has the same one.
+fn gossip_name(host: &str) -> u16 {
     let id = hash_name(host);
     let mut x = (id ^ (id >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     (x ^ (x >> 31)) as u16
 }
 
-/// Backend number `number` of the list, in a zone and of a machine class of its own.
-fn backend(number: usize, zone: usize, dial: SocketAddr, health: &str) -> String {
-    host(&format!("s-{number}"), dial, health, 0)
+/// The entry of backend `number` in the endpoint list, in the given zone and of a machine class that no other backend
+/// has.
+fn backend(number: usize, zone: usize, address: SocketAddr, health: &str) -> String {
+    host(&format!("s-{number}"), address, health, 0)
         .replace("\"site\":\"a\"", &format!("\"site\":\"z-{zone}\""))
         .replace("\"class\":\"k\"", &format!("\"class\":\"k-{number}\""))
 }
 
-/// A proxy's configuration, as proxy 0 of `FLEET_SIZE`.
+/// The configuration of proxy 0 in a fleet of `FLEET_SIZE` proxies.
 fn fleet_config(discovery: &Discovery, port: u16, setup: &Setup) -> String {
     let peers: Vec<String> = (0..FLEET_SIZE).map(|number| format!("\"{}\"", peer(number, port))).collect();
-    let own = format!(
+    let peer_settings = format!(
         r#""peer_listen":"{}","peers":[{}],"peers_all":"{}","#,
         peer(0, port),
         peers.join(","),
         peer(1, port)
     );
     config(discovery.address, setup)
-        .replace("\"known\":", &format!("{own}\"known\":"))
+        .replace("\"known\":", &format!("{peer_settings}\"known\":"))
         .replace("\"mayTell\":false", "\"mayTell\":true")
         .replace("\"nInstances\":1", &format!("\"nInstances\":{FLEET_SIZE}"))
 }
 
-/// A port that is free on the addresses of the first and the last proxy.
+/// A UDP port that is free at the gossip address of proxy 0.
 fn free_port() -> u16 {
     UdpSocket::bind(peer(0, 0)).and_then(|socket| socket.local_addr()).expect("a port").port()
 }
 
-/// A list of `FLEET_SIZE` backends of which the last two take requests, both in the last zone.
-fn full_list(up: [SocketAddr; 2]) -> String {
+/// An endpoint list of `FLEET_SIZE` backends. All are draining except for the last two, which are both in the last
+/// zone.
+fn full_list(up_addresses: [SocketAddr; 2]) -> String {
     let last = FLEET_SIZE - 1;
-    let draining = (0..FLEET_SIZE - 2).map(|number| backend(number, number, up[0], "draining"));
-    let up = [backend(last - 1, last, up[0], "up"), backend(last, last, up[1], "up")];
+    let draining = (0..FLEET_SIZE - 2).map(|number| backend(number, number, up_addresses[0], "draining"));
+    let up = [backend(last - 1, last, up_addresses[0], "up"), backend(last, last, up_addresses[1], "up")];
     list(1, true, &draining.chain(up).collect::<Vec<_>>())
 }
 
@@ -71,12 +73,14 @@
     let healthy = Backend::new(Reply::Write(ok("")));
     discovery.publish(&full_list([failing.address, healthy.address]));
     let setup = Setup { has_admin: true, ..Setup::default() };
-    let by_zone = config(discovery.address, &setup).replace("\"cell\"", "\"zone\"");
-    let proxy = Proxy::start_with_config(&by_zone, &setup);
+    let zone_scope_config = config(discovery.address, &setup).replace("\"cell\"", "\"zone\"");
+    let proxy = Proxy::start_with_config(&zone_scope_config, &setup);
     wait_for("/up", || proxy.is_up());
     wait_for("all backends", || proxy.stat("/members") == FLEET_SIZE as u64);
-    assert_eq!(proxy.stat("/members_unavailable"), FLEET_SIZE as u64 - 2, "all but two drain");
-    // A request with an idempotency key that may have run is retried only in its zone, which has to be known.
+    assert_eq!(proxy.stat("/members_unavailable"), FLEET_SIZE as u64 - 2, "all but two are draining");
+    // The deduplication scope is the zone: a request with an idempotency key that may have run is retried only in the
+    // zone of its first attempt. So the retry after the 500 succeeds only if the proxy knows the zones of both
+    // backends.
     let booking = |number| submit(&format!("r-{number}"), "5", "x").replace("/submit", "/booking");
     for number in 0.. {
         let request = booking(number).replace("Content", &format!("Idempotency-Key: {number}\r\nContent"));
@@ -97,23 +101,24 @@
     let proxy = Proxy::start_with_config(&fleet_config(&discovery, port, &setup), &setup);
     wait_for("all backends", || proxy.stat("/members") == FLEET_SIZE as u64);
     let unavailable = proxy.stat("/members_unavailable");
-    assert_eq!(unavailable, FLEET_SIZE as u64 - 2, "all but two drain");
+    assert_eq!(unavailable, FLEET_SIZE as u64 - 2, "all but two are draining");
     // The last two proxies of the fleet report the last backend as an outlier.
     let last = FLEET_SIZE - 1;
-    let name = wire_name(&format!("s-{last}"));
+    let last_name = gossip_name(&format!("s-{last}"));
     assert!(
-        (0..last).all(|number| wire_name(&format!("s-{number}")) != name),
-        "no other backend has its name"
+        (0..last).all(|number| gossip_name(&format!("s-{number}")) != last_name),
+        "no other backend has the same 16-bit name"
     );
-    let [low, high] = name.to_le_bytes();
+    let [low, high] = last_name.to_le_bytes();
     wait_for("the outlier reports of the last two peers", || {
         send_gossip(last - 1, port, &[1, 255, 1, low, high]);
         send_gossip(last, port, &[1, 255, 1, low, high]);
         proxy.stat("/members_unavailable") == unavailable + 1
     });
-    wait_for("its end", || proxy.stat("/members_unavailable") == unavailable);
+    wait_for("the expiry of the outlier reports", || proxy.stat("/members_unavailable") == unavailable);
 }
 
+/// Guards against the loss of datagrams that all peers send while the proxy is stopped: its socket has to queue them.
 #[test]
 fn gossip_sent_during_a_pause_is_received() {
     let discovery = Discovery::new();
@@ -126,20 +131,22 @@
     proxy.pause();
     (1..FLEET_SIZE).for_each(|number| send_gossip(number, port, &[1, 255, 0]));
     proxy.resume();
-    let granted = std::fs::read_to_string("/proc/sys/net/core/rmem_max").expect("the system's limit");
-    let granted: usize = granted.trim().parse().expect("a number");
-    // The system grants twice what is asked for, up to its limit, and takes less than a KiB for so short a datagram.
-    let queued = (FLEET_SIZE - 1).min(2 * granted / 1024);
-    wait_for("the count of what was heard", || received_datagrams(&proxy) >= queued);
+    let rmem_max =
+        std::fs::read_to_string("/proc/sys/net/core/rmem_max").expect("the operating system's limit");
+    let rmem_max: usize = rmem_max.trim().parse().expect("a number");
+    // Linux allocates twice the requested receive buffer, where the request is limited to `rmem_max`, and a datagram of
+    // three bytes takes less than a KiB of it.
+    let queued = (FLEET_SIZE - 1).min(2 * rmem_max / 1024);
+    wait_for("the received datagrams in the log", || received_datagrams(&proxy) >= queued);
 }
 
-/// A datagram from one of the peers.
+/// Sends a datagram to proxy 0 from the address of proxy `number`.
 fn send_gossip(number: usize, port: u16, bytes: &[u8]) {
     let socket = UdpSocket::bind(peer(number, port)).expect("the peer's address");
     socket.send_to(bytes, peer(0, port)).expect("a datagram");
 }
 
-/// How many datagrams a proxy has received, by its log.
+/// The number of gossip datagrams that a proxy has received, according to its log.
 fn received_datagrams(proxy: &Proxy) -> usize {
     let log = proxy.log.lock().expect("no panic");
     let count = |part: &str| part.split_whitespace().next().and_then(|number| number.parse::<usize>().ok());
@@ -157,8 +164,9 @@
         format!(r#"{{"name":"c-{number}","effect":"idempotent","promise":4000,"deadline":5000,"worth":1}},"#)
     };
     let classes: String = (0..FLEET_SIZE).map(class).collect();
-    let many = config(discovery.address, &setup).replace("\"classes\":[", &format!("\"classes\":[{classes}"));
-    proxy.reload(&many);
+    let config_with_classes =
+        config(discovery.address, &setup).replace("\"classes\":[", &format!("\"classes\":[{classes}"));
+    proxy.reload(&config_with_classes);
     wait_for("the reload", || proxy.stat("/config_reloads") + proxy.stat("/config_reload_errors") == 1);
     let request = page("r-1").replace("/page", &format!("/c-{}", FLEET_SIZE - 1));
     assert_eq!(proxy.client().request(&request).expect("a response").status(), 200);
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operators do with a running proxy, by its admin address and by SIGHUP.
+//! Operations on a running proxy: calls to its admin address, and reloads of its configuration by SIGHUP.
 mod sockets;
 
 use std::io::{Read, Write};
@@ -31,7 +31,7 @@
     wait_for("one backend", || proxy.stat("/members") == 1);
     latch.open();
     assert_eq!(status(waiting.response()), 200);
-    wait_for("its end", || proxy.stat("/pending") == 0);
+    wait_for("the end of the request", || proxy.stat("/pending") == 0);
     assert_eq!(proxy.stat("/completed/page"), 2);
 }
 
@@ -46,16 +46,16 @@
 }
 
 #[test]
-fn unfinished_admin_calls_are_closed_and_block_nobody() {
+fn unfinished_admin_calls_are_closed_and_do_not_block_others() {
     let discovery = Discovery::new();
     discovery.publish(&list(1, true, &[]));
     let proxy = Proxy::start_ready(&discovery, &setup_with_admin());
     let mut stalled: Vec<_> = (0..40).map(|_| proxy.admin_connection()).collect();
-    stalled.iter_mut().for_each(|connection| connection.write_all(b"GET /sta").expect("it is there"));
+    stalled.iter_mut().for_each(|connection| connection.write_all(b"GET /sta").expect("the proxy accepts"));
     assert_eq!(proxy.admin_call("GET /stats").status(), 200);
     for mut connection in stalled {
         let mut response = Vec::new();
-        let _ = connection.read_to_end(&mut response); // closed or reset, either is an end
+        let _ = connection.read_to_end(&mut response); // the proxy closes or resets it
         assert!(!response.starts_with(b"HTTP/1.1 2"));
     }
 }
@@ -85,11 +85,11 @@
     assert_eq!(proxy.admin_call("PUT /healthcheck/fail").status(), 200);
     assert!(!proxy.is_up());
     assert_eq!(proxy.admin_call("GET /healthcheck").status(), 200, "the process itself is healthy");
-    // Who is connected is served once more, and new connections still are.
+    // A connected client is served once more before its connection is closed. New connections are still accepted.
     let response = used.request(&page("r-3")).expect("a response");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(used.is_closed());
-    assert!(idle.is_closed(), "in the end");
+    assert!(idle.is_closed(), "idle connections are closed too");
     assert_eq!(proxy.client().request(&page("r-4")).expect("a response").header("connection"), Some("close"));
     assert_eq!(proxy.admin_call("PUT /healthcheck/ok").status(), 200);
     assert!(proxy.is_up());
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn backend_in_maintenance_gets_nothing() {
+fn backend_in_maintenance_gets_no_requests() {
     let one = Backend::new(Reply::Write(ok("one")));
     let two = Backend::new(Reply::Write(ok("two")));
     let discovery = Discovery::new();
@@ -112,26 +112,26 @@
     let serving_backend =
         |id: usize| proxy.client().request(&page(&format!("r-{id}"))).expect("a response").text();
     (0..10).for_each(|id| assert_eq!(serving_backend(id), "two"));
-    // Restarted elsewhere, as the list tells.
+    // The backend restarts, according to the endpoint list; the maintenance still applies.
     discovery.publish(&list(2, false, &[host("s-0", one.address, "removed", 0)]));
     discovery.publish(&list(3, false, &[host("s-0", one.address, "up", 1)]));
-    wait_for("two members again", || proxy.stat("/members") == 2);
+    wait_for("two backends again", || proxy.stat("/members") == 2);
     assert_eq!(proxy.stat("/members_unavailable"), 1);
     (10..20).for_each(|id| assert_eq!(serving_backend(id), "two"));
     assert_eq!(one.requests().len(), before);
     assert_eq!(proxy.admin_call("PUT /backends/s-0/ready").status(), 200);
     let mut id = 20;
-    wait_for("its use", || {
+    wait_for("a response of the backend that is ready again", || {
         id += 1;
         serving_backend(id) == "one"
     });
-    wait_for("two in use", || proxy.stat("/members_unavailable") == 0);
+    wait_for("two available backends", || proxy.stat("/members_unavailable") == 0);
 }
 
-/// The class of this name in a configuration.
+/// The JSON text of the request class with this name in a configuration.
 fn class(text: &str, name: &str) -> String {
     let start = text.find(&format!(r#"{{"name":"{name}""#)).expect("a class");
-    text[start..=start + text[start..].find('}').expect("its end")].to_owned()
+    text[start..=start + text[start..].find('}').expect("the end of the class")].to_owned()
 }
 
 #[test]
@@ -143,25 +143,27 @@
     let proxy = Proxy::start_ready(&discovery, &setup_with_admin());
     assert_eq!(status(proxy.client().request(&page("r-1"))), 200);
     assert_eq!(status(proxy.client().request(&submit("r-2", "5", "x"))), 200);
-    let mut open = proxy.client();
-    open.send(&page("r-held"));
-    wait_for("an open request", || backend.requests().len() == 3);
-    // The open one's class goes, another comes first, and one that was keyed is safe to repeat.
+    let mut pending_client = proxy.client();
+    pending_client.send(&page("r-held"));
+    wait_for("the delayed request", || backend.requests().len() == 3);
+    // The new configuration removes the class of the pending request, has another first class instead, and makes the
+    // deduplicated class `booking` idempotent.
     let text = config(discovery.address, &setup_with_admin());
-    let gone = class(&text, "page");
-    let keyed = class(&text, "booking");
-    let text =
-        text.replace(&keyed, &gone.replace("page", "booking")).replace(&gone, &gone.replace("page", "fresh"));
+    let removed_class = class(&text, "page");
+    let deduplicated_class = class(&text, "booking");
+    let text = text
+        .replace(&deduplicated_class, &removed_class.replace("page", "booking"))
+        .replace(&removed_class, &removed_class.replace("page", "fresh"));
     proxy.reload(&text);
-    wait_for("the new file", || proxy.stat("/config_reloads") == 1);
+    wait_for("the reload", || proxy.stat("/config_reloads") == 1);
     assert_eq!(status(proxy.client().request(&page("r-3"))), 404);
     for path in ["/fresh", "/booking"] {
         assert_eq!(status(proxy.client().request(&page("r-4").replace("/page", path))), 200, "{path}");
     }
     assert_eq!(status(proxy.client().request(&submit("r-5", "5", "x"))), 200);
     latch.open();
-    assert_eq!(open.response().expect("a response").text(), "held");
-    wait_for("its end", || proxy.stat("/completed/page") == 2);
+    assert_eq!(pending_client.response().expect("a response").text(), "held");
+    wait_for("the end of the delayed request", || proxy.stat("/completed/page") == 2);
     let counts = ["submit", "fresh", "booking"].map(|class| proxy.stat(&format!("/completed/{class}")));
     assert_eq!((counts, proxy.stat("/pending")), ([2, 1, 1], 0));
 }
@@ -183,7 +185,7 @@
     ];
     for (number, text) in broken.iter().enumerate() {
         proxy.reload(text);
-        wait_for("its refusal", || proxy.stat("/config_reload_errors") == number as u64 + 1);
+        wait_for("the rejected reload", || proxy.stat("/config_reload_errors") == number as u64 + 1);
         assert_eq!(status(proxy.client().request(&page(&format!("r-{number}")))), 200);
     }
     assert_eq!(proxy.stat("/config_reloads"), 0);
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -1,4 +1,4 @@
-//! The process: its configuration, SIGTERM and gossip with its peers.
+//! The proxy process: errors in its configuration, its shutdown on SIGTERM, and gossip with its peers.
 mod sockets;
 
 use std::net::{TcpListener, UdpSocket};
@@ -7,35 +7,38 @@
 use sockets::*;
 
 #[test]
-fn invalid_configuration_ends_the_process_with_its_reason() {
-    let nowhere = "127.0.0.1:1".parse().unwrap();
-    let good = config(nowhere, &Setup::default());
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = taken.local_addr().unwrap().to_string();
-    for (text, word) in [
+fn invalid_configuration_ends_the_process_and_logs_the_reason() {
+    let unused_address = "127.0.0.1:1".parse().unwrap();
+    let valid = config(unused_address, &Setup::default());
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let used_address = listener.local_addr().unwrap().to_string();
+    for (text, reason) in [
         ("{".to_owned(), "EOF"),
-        (good.replace("\"127.0.0.1:0\"", "17"), "socket address"),
-        (good.replace("\"classes\"", "\"glasses\""), "classes"),
-        (good.replace("127.0.0.1:0", "192.0.2.1:1"), "listen on 192.0.2.1:1"),
-        (good.replace("\"seed\":\"8c1f30d27a5be964\"", &format!("\"seed\":{{\"x\":\"{taken}\"}}")), "seed"),
+        (valid.replace("\"127.0.0.1:0\"", "17"), "socket address"),
+        (valid.replace("\"classes\"", "\"glasses\""), "classes"),
+        (valid.replace("127.0.0.1:0", "192.0.2.1:1"), "listen on 192.0.2.1:1"),
+        (
+            valid.replace("\"seed\":\"8c1f30d27a5be964\"", &format!("\"seed\":{{\"x\":\"{used_address}\"}}")),
+            "seed",
+        ),
     ] {
         let file = config_file(&text);
-        let run = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
+        let output = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
             .arg("serve")
             .env("NODE_CONFIG", &file)
             .output()
             .unwrap();
         let _ = std::fs::remove_file(&file);
-        let log = String::from_utf8_lossy(&run.stderr).into_owned();
-        let code = if word.starts_with("listen on") { 1 } else { 2 };
-        assert!(run.status.code() == Some(code) && log.contains(word), "{word}: {log}");
+        let log = String::from_utf8_lossy(&output.stderr).into_owned();
+        let expected_code = if reason.starts_with("listen on") { 1 } else { 2 };
+        assert!(output.status.code() == Some(expected_code) && log.contains(reason), "{reason}: {log}");
     }
-    let run = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
+    let output = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
         .arg("serve")
         .env_remove("NODE_CONFIG")
         .output()
         .unwrap();
-    assert_eq!(run.status.code(), Some(2));
+    assert_eq!(output.status.code(), Some(2));
 }
 
 #[test]
@@ -47,13 +50,13 @@
     let mut idle = proxy.client();
     assert_eq!(status(idle.request(&page("r-1"))), 200);
     busy.send(&submit("r-held", "5", "x"));
-    wait_for("the request", || backend.requests().iter().any(|request| request.id() == "r-held"));
-    // This one waits in the accept queue or is fresh when the signal comes.
-    let mut fresh = proxy.client();
+    wait_for("the delayed request", || backend.requests().iter().any(|request| request.id() == "r-held"));
+    // When the signal arrives, this connection waits in the accept queue or has just been accepted.
+    let mut new_client = proxy.client();
     proxy.terminate();
-    let response = fresh.request(&page("r-2")).expect("a response");
+    let response = new_client.request(&page("r-2")).expect("a response");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
-    assert!(idle.is_closed(), "an idle connection closes");
+    assert!(idle.is_closed(), "idle connections are closed");
     latch.open();
     let response = busy.response().expect("a response");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
@@ -65,23 +68,23 @@
     let backend = Backend::new(Reply::Write(ok("")));
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[&backend]));
-    let other = UdpSocket::bind("127.0.0.1:0").unwrap();
-    other.set_read_timeout(Some(LIMIT)).unwrap();
-    // An address of this test's own, so that nobody else takes the port meanwhile.
-    let own = UdpSocket::bind("127.93.17.5:0").unwrap().local_addr().unwrap();
-    let gossip = Some((own, other.local_addr().unwrap()));
+    let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
+    peer.set_read_timeout(Some(LIMIT)).unwrap();
+    // No other test uses this loopback address, so that no other socket takes the port before the proxy binds it.
+    let proxy_address = UdpSocket::bind("127.93.17.5:0").unwrap().local_addr().unwrap();
+    let gossip = Some((proxy_address, peer.local_addr().unwrap()));
     let mut proxy = Proxy::start_ready(&discovery, &Setup { gossip, ..Setup::default() });
-    let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
+    let unknown_sender = UdpSocket::bind("127.0.0.1:0").unwrap();
     for size in [0, 1, 3, 255, 256, 257, 2000] {
-        for first in [0u8, 1, 255] {
+        for first_byte in [0u8, 1, 255] {
             let mut bytes = vec![255; size];
-            bytes.iter_mut().take(1).for_each(|byte| *byte = first);
-            other.send_to(&bytes, own).unwrap();
-            stranger.send_to(&bytes, own).unwrap();
+            bytes.iter_mut().take(1).for_each(|byte| *byte = first_byte);
+            peer.send_to(&bytes, proxy_address).unwrap();
+            unknown_sender.send_to(&bytes, proxy_address).unwrap();
         }
     }
-    let (size, from) = other.recv_from(&mut [0; 512]).expect("a gossip message");
-    assert!(size > 0 && size <= 256 && from == own);
+    let (size, sender) = peer.recv_from(&mut [0; 512]).expect("a gossip message");
+    assert!(size > 0 && size <= 256 && sender == proxy_address);
     assert_eq!(status(proxy.client().request(&page("r-1"))), 200);
     assert!(proxy.is_running());
 }
--- a/crates/cli/tests/readiness.rs
+++ b/crates/cli/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! How soon a proxy is ready, whatever discovery does meanwhile.
+//! How soon a proxy is ready, whether discovery is down, unresponsive or slow.
 mod sockets;
 
 use std::io::{BufReader, Write};
@@ -8,38 +8,39 @@
 
 use sockets::*;
 
-/// Discovery that does something with each call, one after another.
-fn discovery(does: impl Fn(TcpStream) + Send + Sync + Clone + 'static) -> SocketAddr {
+/// Starts a discovery that runs `handle` for each connection in a new thread; returns its address.
+fn start_discovery(handle: impl Fn(TcpStream) + Send + Sync + Clone + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let does = does.clone();
-            thread::spawn(move || does(stream.expect("a connection")));
+            let handle = handle.clone();
+            thread::spawn(move || handle(stream.expect("a connection")));
         }
     });
     address
 }
 
-/// Accepts and says nothing, for as long as the caller stays.
-fn silent() -> SocketAddr {
-    discovery(|stream| {
+/// Starts a discovery that reads requests and never responds.
+fn start_silent() -> SocketAddr {
+    start_discovery(|stream| {
         let mut reader = BufReader::new(stream);
         while read_message(&mut reader).is_some() {}
     })
 }
 
-fn overloaded() -> SocketAddr {
-    discovery(|stream| {
+/// Starts a discovery that responds to each request with 503.
+fn start_overloaded() -> SocketAddr {
+    start_discovery(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
         let mut stream = stream;
         while read_message(&mut reader).is_some() && stream.write_all(empty("503 Busy").as_bytes()).is_ok() {}
     })
 }
 
-/// Tells a whole list, a byte a second.
-fn drip() -> SocketAddr {
-    discovery(|stream| {
+/// Starts a discovery that sends a whole list, one byte per second.
+fn start_slow() -> SocketAddr {
+    start_discovery(|stream| {
         let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
         let mut stream = stream;
         if read_message(&mut reader).is_none() {
@@ -55,48 +56,52 @@
     })
 }
 
-/// All faults of discovery, by name.
+/// All faults of discovery under test: the name of each, the address of the faulty discovery, and what has to be kept
+/// for the fault to last.
 fn discovery_faults() -> Vec<(&'static str, SocketAddr, Box<dyn Send>)> {
-    // Connections to it don't come up.
+    // Connections to this address are not established, as the accept queue is full.
     let full = full_listener();
-    let hangs = full.0.local_addr().expect("an address");
-    let closed = RefusingAddress::new();
+    let hanging_address = full.0.local_addr().expect("an address");
+    let refusing = RefusingAddress::new();
     vec![
-        (DOWN, closed.address, Box::new(closed)),
-        ("hangs", hangs, Box::new(full)),
-        ("silent", silent(), Box::new(())),
-        ("overbooked", overloaded(), Box::new(())),
-        ("drip", drip(), Box::new(())),
+        (DOWN, refusing.address, Box::new(refusing)),
+        ("hanging", hanging_address, Box::new(full)),
+        ("silent", start_silent(), Box::new(())),
+        ("overloaded", start_overloaded(), Box::new(())),
+        ("slow", start_slow(), Box::new(())),
     ]
 }
 
-/// The time from the moment at which a proxy listens until it says that it can serve.
+/// Waits until a proxy that already listens reports that it is ready; returns how long that took.
 fn time_until_ready(proxy: &Proxy) -> Duration {
     let started_at = Instant::now();
     wait_for("/up", || proxy.is_up());
     started_at.elapsed()
 }
 
-/// Nobody listens there, so it can't have published anything.
+/// The name of the fault where nothing listens at the address of discovery, which therefore can't have published any
+/// change.
 const DOWN: &str = "down";
 
-/// Sooner than any proxy without a list, whatever the machine's load; it takes half a second by itself.
+/// The time within which a proxy with a cached list has to be ready, on a loaded machine too; on an idle one it takes
+/// half a second. A proxy without a list always takes longer than this limit.
 const CACHED_LIST_LIMIT: Duration = Duration::from_secs(4);
 
 #[test]
 fn ready_with_cached_list_without_discovery() {
     let backend = Backend::new(Reply::Write(ok("")));
-    let all: Vec<_> = discovery_faults();
-    for (name, address, _guard) in &all {
+    let faults: Vec<_> = discovery_faults();
+    for (name, address, _guard) in &faults {
         let proxy = Proxy::start_with_discovery_at(
             *address,
             &Setup { cached_list: all_up(&[&backend]), ..Setup::default() },
         );
-        let after = time_until_ready(&proxy);
-        eprintln!("remembered list, discovery {name}: ready after {after:?}");
-        assert!(after < CACHED_LIST_LIMIT, "{name}: {after:?}");
-        // Where lists are pushed all that an agent has counts as known from the first moment on, and the settings' grace
-        // is over by now. Only an agent that is down has nothing.
+        let ready_after = time_until_ready(&proxy);
+        eprintln!("cached list, discovery {name}: ready after {ready_after:?}");
+        assert!(ready_after < CACHED_LIST_LIMIT, "{name}: {ready_after:?}");
+        // Lists are pushed by an agent: every change that the agent has counts as notified from the start of the proxy,
+        // and the drain grace after that is over by now, so that the cached list is no longer valid. Only an agent that
+        // is down can't have a change, so that the list stays valid.
         let expected = if *name == DOWN { 200 } else { 503 };
         let response = proxy.client().request(&page("r-1")).expect("a response");
         assert_eq!(response.status(), expected, "{name}");
@@ -108,24 +113,26 @@
 fn polled_cached_list_is_served_whatever_discovery_does() {
     let backend = Backend::new(Reply::Write(ok("")));
     let setup = Setup { cached_list: all_up(&[&backend]), ..Setup::default() };
-    let all: Vec<_> = discovery_faults();
-    for (name, address, _guard) in &all {
+    let faults: Vec<_> = discovery_faults();
+    for (name, address, _guard) in &faults {
         let text = config(*address, &setup).replace(r#""discovery":"pushed""#, r#""discovery":"on_request""#);
         let proxy = Proxy::start_with_config(&text, &setup);
-        let after = time_until_ready(&proxy);
-        assert!(after < CACHED_LIST_LIMIT, "{name}: {after:?}");
+        let ready_after = time_until_ready(&proxy);
+        assert!(ready_after < CACHED_LIST_LIMIT, "{name}: {ready_after:?}");
         assert_eq!(proxy.client().request(&page("r-1")).expect("a response").status(), 200, "{name}");
     }
 }
 
-/// Starts a proxy that remembers nothing of use, and checks that it says in time that it can serve, then refuses.
-fn serves_without_a_list(name: &str, discovery: SocketAddr, known: &str) -> Proxy {
-    let proxy =
-        Proxy::start_with_discovery_at(discovery, &Setup { cached_list: known.into(), ..Setup::default() });
-    assert!(!proxy.is_up(), "{name}: who comes to another proxy may be served there");
-    let after = time_until_ready(&proxy);
-    eprintln!("{name}: ready after {after:?}");
-    assert!(after < Duration::from_secs(6), "{name}: {after:?}");
+/// Starts a proxy without a usable cached list, and checks that it becomes ready in time and then rejects requests.
+fn start_without_usable_list(name: &str, discovery: SocketAddr, cached_list: &str) -> Proxy {
+    let proxy = Proxy::start_with_discovery_at(
+        discovery,
+        &Setup { cached_list: cached_list.into(), ..Setup::default() },
+    );
+    assert!(!proxy.is_up(), "{name}: not ready at once, as other proxies may be able to serve the clients");
+    let ready_after = time_until_ready(&proxy);
+    eprintln!("{name}: ready after {ready_after:?}");
+    assert!(ready_after < Duration::from_secs(6), "{name}: {ready_after:?}");
     let response = proxy.client().request(&page("r-1")).expect("a response");
     assert_eq!(response.status(), 503, "{name}");
     assert!(response.header("retry-after").is_some(), "{name}: {response:?}");
@@ -134,33 +141,33 @@
 
 #[test]
 fn proxy_without_list_rejects_after_some_seconds() {
-    let all = discovery_faults();
+    let faults = discovery_faults();
     thread::scope(|scope| {
-        for (name, address, _guard) in &all {
+        for (name, address, _guard) in &faults {
             let name = format!("no list, discovery {name}");
-            scope.spawn(move || serves_without_a_list(&name, *address, "null"));
+            scope.spawn(move || start_without_usable_list(&name, *address, "null"));
         }
     });
 }
 
 #[test]
 fn unusable_cached_list_is_ignored() {
-    let nobody: SocketAddr = "127.0.0.1:9".parse().expect("an address");
-    let useless = [
+    let unused_address: SocketAddr = "127.0.0.1:9".parse().expect("an address");
+    let unusable_lists = [
         ("no hosts", list(1, true, &[])),
-        ("a broken one", r#"{"seq":"x","whole":1}"#.into()),
-        ("a text", r#""hosts""#.into()),
-        ("hosts that drain", list(1, true, &[host("s-0", nobody, "draining", 0)])),
+        ("malformed list", r#"{"seq":"x","whole":1}"#.into()),
+        ("string instead of a list", r#""hosts""#.into()),
+        ("draining hosts", list(1, true, &[host("s-0", unused_address, "draining", 0)])),
         (
             "hosts without an address",
             r#"{"seq":1,"whole":true,"hosts":[{"host":"s-0","health":"up"}]}"#.into(),
         ),
     ];
     thread::scope(|scope| {
-        for (name, known) in &useless {
+        for (name, cached_list) in &unusable_lists {
             scope.spawn(move || {
-                let closed = RefusingAddress::new();
-                serves_without_a_list(name, closed.address, known)
+                let refusing = RefusingAddress::new();
+                start_without_usable_list(name, refusing.address, cached_list)
             });
         }
     });
@@ -169,13 +176,13 @@
 #[test]
 fn recovered_discovery_is_used_by_proxy_without_list() {
     let backend = Backend::new(Reply::Write(ok("")));
-    let closed = RefusingAddress::new();
-    let proxy = serves_without_a_list("discovery down for a while", closed.address, "null");
+    let refusing = RefusingAddress::new();
+    let proxy = start_without_usable_list("discovery down for a while", refusing.address, "null");
     let started_at = Instant::now();
-    let discovery = Discovery::on_listener(closed.open());
+    let discovery = Discovery::on_listener(refusing.open());
     discovery.publish(&all_up(&[&backend]));
-    wait_for("service", || {
+    wait_for("a served request", || {
         proxy.client().request(&page("r-2")).is_some_and(|response| response.status() == 200)
     });
-    eprintln!("discovery back: served after {:?}", started_at.elapsed());
+    eprintln!("discovery recovered: served after {:?}", started_at.elapsed());
 }
--- a/crates/cli/tests/remaining_time.rs
+++ b/crates/cli/tests/remaining_time.rs
@@ -1,4 +1,5 @@
-//! Requests that wait in the proxy, in its queue or behind others on one connection: backends are sent the remaining time.
+//! Requests that wait in the proxy, in its queue or behind other requests of the same connection: backends receive the
+//! remaining time of the client as the timeout.
 mod sockets;
 
 use std::time::{Duration, Instant};
@@ -6,9 +7,11 @@
 use sockets::cancellation::send_delayed_requests;
 use sockets::*;
 
-/// By how much the time that a backend is sent may exceed what the client has left, in seconds.
+/// The largest difference by which the timeout that a backend receives may exceed the remaining time of the client, in
+/// seconds.
 const TOLERANCE: f64 = 0.15;
-/// More than is read of a body before its request is queued, and less than the system holds of one.
+/// The length of a long body in bytes: more than the proxy reads before it queues the request, and less than the socket
+/// buffers of the operating system hold.
 const LONG_BODY: usize = 200 << 10;
 
 /// A proxy with one backend, which delays requests named `r-held` until the latch opens.
@@ -21,18 +24,18 @@
     (backend, discovery, proxy)
 }
 
-/// Requests that the backend delays: more than it has slots, so that what follows waits.
+/// Sends more requests that the backend delays than it has slots, so that later requests wait in the proxy's queue.
 fn fill_slots(proxy: &Proxy) -> Vec<Client> {
     let clients = send_delayed_requests(proxy);
-    wait_for("requests that wait", || proxy.waiting() > 0);
+    wait_for("queued requests", || proxy.waiting() > 0);
     clients
 }
 
-/// The remaining time that a backend was sent with a request, in seconds.
+/// The remaining time that a backend received with a request, in seconds.
 fn remaining_time(backend: &Backend, id: &str) -> f64 {
     let seen = backend.requests();
-    let request = seen.iter().find(|request| request.id() == id).expect("it came");
-    request.header("x-timeout").and_then(|seconds| seconds.parse().ok()).expect("a time")
+    let request = seen.iter().find(|request| request.id() == id).expect("the backend has received it");
+    request.header("x-timeout").and_then(|seconds| seconds.parse().ok()).expect("a timeout")
 }
 
 #[test]
@@ -43,7 +46,7 @@
     let mut client = proxy.client();
     client.send(&submit("r-long", "1", &"x".repeat(LONG_BODY)));
     let sent_at = Instant::now();
-    let response = client.response().expect("a response, while the backend delays all that it has");
+    let response = client.response().expect("a response while the backend delays all other requests");
     assert_eq!(response.status(), 503);
     assert!(response.header("retry-after").is_some());
     assert!(sent_at.elapsed() < Duration::from_secs(10), "{:?}", sent_at.elapsed());
--- a/crates/cli/tests/shutdown.rs
+++ b/crates/cli/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: every request that was accepted gets a response, and the process exits before SIGKILL could come.
+//! Graceful shutdown: every request that was accepted gets a response, and the process exits before it would be
+//! killed by SIGKILL.
 mod sockets;
 
 use std::net::TcpStream;
@@ -6,42 +7,45 @@
 
 use sockets::*;
 
-/// Starts a proxy whose longest deadline is `deadline` with a backend that never answers; terminates it with one request
-/// at the backend and others that wait, and checks the answers. SIGKILL would come after `kill`.
-fn terminate_with_hanging_backend(deadline: u32, kill: Duration) {
-    let never = Latch::default();
-    let backend = Backend::new(Reply::Delayed(never.clone(), ok("")));
+/// Starts a proxy whose longest deadline is `longest_deadline_ms`, with a backend that doesn't respond, and terminates
+/// it while some requests are at the backend and others wait in the queue. Checks that all get a response, and that the
+/// process exits within `kill_after`, the time after which SIGKILL would follow.
+fn terminate_with_hanging_backend(longest_deadline_ms: u32, kill_after: Duration) {
+    let latch = Latch::default();
+    let backend = Backend::new(Reply::Delayed(latch.clone(), ok("")));
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[&backend]));
-    let mut proxy =
-        Proxy::start_ready(&discovery, &Setup { has_admin: true, deadline_ms: deadline, ..Setup::default() });
-    let seconds = format!("{}", f64::from(deadline) / 1000.0);
+    let mut proxy = Proxy::start_ready(
+        &discovery,
+        &Setup { has_admin: true, deadline_ms: longest_deadline_ms, ..Setup::default() },
+    );
+    let timeout = format!("{}", f64::from(longest_deadline_ms) / 1000.0);
     let mut clients: Vec<Client> = (0..12).map(|_| proxy.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
-        client.send(&submit(&format!("r-{number}"), &seconds, "x"));
+        client.send(&submit(&format!("r-{number}"), &timeout, "x"));
     }
-    wait_for("all of them", || proxy.stat("/pending") == 12);
+    wait_for("all requests", || proxy.stat("/pending") == 12);
     let terminated_at = Instant::now();
     proxy.terminate();
-    // Again, and a file to be read meanwhile: neither changes anything.
+    // Neither a second SIGTERM nor a reload of an invalid file changes the shutdown.
     proxy.terminate();
     proxy.reload("{");
-    let answers: Vec<u16> =
+    let statuses: Vec<u16> =
         clients.iter_mut().map(|client| client.response().expect("a response").status()).collect();
     assert!(proxy.wait().success());
-    assert!(terminated_at.elapsed() < kill, "{:?}", terminated_at.elapsed());
+    assert!(terminated_at.elapsed() < kill_after, "{:?}", terminated_at.elapsed());
     let sent: Vec<String> = backend.requests().iter().map(|request| request.id().to_owned()).collect();
     assert!(!sent.is_empty() && sent.len() < 12, "{sent:?}");
-    for (number, status) in answers.into_iter().enumerate() {
-        // What may have run has failed; what was never sent may be tried again.
+    for (number, status) in statuses.into_iter().enumerate() {
+        // A request that was sent may have run, so it fails. One that was never sent is rejected, and can be retried.
         let expected = if sent.contains(&format!("r-{number}")) { 502 } else { 503 };
         assert_eq!(status, expected, "r-{number} of {sent:?}");
     }
-    never.open();
+    latch.open();
 }
 
 #[test]
-fn long_deadlines_are_cut_before_sigkill() {
+fn long_deadlines_are_shortened_to_end_before_sigkill() {
     terminate_with_hanging_backend(60_000, Duration::from_millis(3700));
 }
 
@@ -60,10 +64,11 @@
     let (half, rest) = request.split_at(request.len() / 2);
     let mut client = proxy.client();
     client.send(half);
-    assert!(proxy.is_up()); // by now the half has been read
+    assert!(proxy.is_up()); // by the time of this response, the proxy has read the first half
     proxy.terminate();
-    wait_for("the listener's end", || TcpStream::connect(proxy.address).is_err());
-    // Long enough for a process that waits for nobody to be gone; the head has 2.4 s from its first byte on.
+    wait_for("the close of the listener", || TcpStream::connect(proxy.address).is_err());
+    // Within this time, a process that didn't wait for the rest of the head would have exited. The head has to be
+    // complete 2.4 s after its first byte.
     std::thread::sleep(Duration::from_millis(500));
     client.send(rest);
     let response = client.response().expect("a response");
@@ -72,19 +77,20 @@
 }
 
 #[test]
-fn head_that_gives_way_to_others_is_answered() {
+fn incomplete_head_evicted_for_new_connections_is_answered() {
     let backend = Backend::new(Reply::Write(ok("")));
     let discovery = Discovery::new();
     discovery.publish(&all_up(&[&backend]));
     let proxy = Proxy::start_ready(&discovery, &Setup { max_descriptors: 64, ..Setup::default() });
-    let half = |_| {
+    let send_incomplete_head = |_| {
         let mut client = proxy.client();
         client.send("GET /page HTTP/1.1\r\nHost");
         client
     };
-    let mut stuck: Vec<Client> = (0..40).map(half).collect();
-    // Its rest may be on the way when it is asked to go: it gets a response, which says that nothing was done.
-    assert_eq!(stuck[0].last_response(), Some((503, true)));
+    let mut incomplete: Vec<Client> = (0..40).map(send_incomplete_head).collect();
+    // The proxy closes the first connection to accept others. The rest of its head may be on the way, so the client
+    // gets a response, which shows that the request was not processed.
+    assert_eq!(incomplete[0].last_response(), Some((503, true)));
 }
 
 #[test]
--- a/crates/cli/tests/signals.rs
+++ b/crates/cli/tests/signals.rs
@@ -1,4 +1,5 @@
-//! Signals that come before the proxy runs. A FIFO as its configuration keeps the process in its first read.
+//! Signals that arrive before the proxy runs. The configuration file is a FIFO, which blocks the process in its first
+//! read of the configuration.
 mod sockets;
 
 use std::fs::{File, OpenOptions};
@@ -8,7 +9,8 @@
 
 use sockets::*;
 
-/// A process that has begun to read its configuration, the end to write that to, and the file.
+/// Starts a process and waits until it has begun to read its configuration. Returns the process, the write end of the
+/// FIFO, and the path of the FIFO.
 fn spawn_in_first_read() -> (Child, File, PathBuf) {
     let file = config_file("");
     std::fs::remove_file(&file).expect("just written");
@@ -16,37 +18,38 @@
     let mut command = Command::new(env!("CARGO_BIN_EXE_leadrelay"));
     command.arg("serve").env("NODE_CONFIG", &file).stderr(Stdio::piped());
     let child = command.spawn().expect("the proxy starts");
-    // Opens once the other end is open too.
+    // This blocks until the process has opened the FIFO for reading.
     let writer = OpenOptions::new().write(true).open(&file).expect("a FIFO");
     (child, writer, file)
 }
 
-fn kill(child: &Child, signal: &str) {
+fn send_signal(child: &Child, signal: &str) {
     let pid = child.id().to_string();
     assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
 }
 
-/// Replaces the FIFO by a file: the first reading goes on, each later one finds this.
-fn replace(file: &Path, text: &str) {
-    let fresh = file.with_extension("new");
-    std::fs::write(&fresh, text).expect("a file");
-    std::fs::rename(&fresh, file).expect("a file");
+/// Replaces the FIFO with a regular file: the first read continues from the FIFO, and each later read gets `text`.
+fn replace_fifo(file: &Path, text: &str) {
+    let new_file = file.with_extension("new");
+    std::fs::write(&new_file, text).expect("a file");
+    std::fs::rename(&new_file, file).expect("a file");
 }
 
+/// Guards against a SIGHUP that is ignored because the first read of the configuration is still in progress.
 #[test]
 fn sighup_during_first_read_leads_to_a_second() {
     let backend = Backend::new(Reply::Write(ok("")));
-    let old = Discovery::new();
-    let new = Discovery::new();
-    new.publish(&all_up(&[&backend]));
+    let old_discovery = Discovery::new();
+    let new_discovery = Discovery::new();
+    new_discovery.publish(&all_up(&[&backend]));
     let setup = Setup { has_admin: true, ..Setup::default() };
     let (child, mut writer, file) = spawn_in_first_read();
-    kill(&child, "-HUP");
-    replace(&file, &config(new.address, &setup));
-    write!(writer, "{}", config(old.address, &setup)).expect("it reads");
+    send_signal(&child, "-HUP");
+    replace_fifo(&file, &config(new_discovery.address, &setup));
+    write!(writer, "{}", config(old_discovery.address, &setup)).expect("the process reads");
     drop(writer);
     let mut proxy = Proxy::from_child(child, file);
-    // Only the later one names a discovery that tells its list.
+    // Only the second configuration names a discovery that has published a list.
     wait_for("/up", || proxy.is_up());
     assert_eq!(proxy.client().request(&page("r-1")).expect("a response").status(), 200);
     assert_eq!(proxy.stat("/config_reloads"), 1);
@@ -58,13 +61,13 @@
 fn sigterm_during_first_read_ends_the_process() {
     for signal in ["-TERM", "-INT"] {
         let (mut child, writer, file) = spawn_in_first_read();
-        kill(&child, signal);
+        send_signal(&child, signal);
         let mut status = None;
-        wait_for("its end", || {
+        wait_for("the exit of the process", || {
             status = child.try_wait().expect("a child");
             status.is_some()
         });
-        assert_eq!(status.expect("just seen").code(), Some(0), "{signal}");
+        assert_eq!(status.expect("the process has exited").code(), Some(0), "{signal}");
         drop(writer);
         std::fs::remove_file(file).expect("a FIFO");
     }
--- a/crates/cli/tests/slow_requests_unlike_others.rs
+++ b/crates/cli/tests/slow_requests_unlike_others.rs
@@ -1,4 +1,5 @@
-//! What must not shorten the time of a request, whatever other clients announce.
+//! Cases in which a request must keep the timeout that its client announces, even if other clients announce shorter
+//! ones.
 mod sockets;
 
 use std::thread;
@@ -7,13 +8,14 @@
 use sockets::slow_writers::*;
 use sockets::*;
 
-/// The process may be held up for so long.
+/// How long the proxy process is stopped. The proxy has to tolerate such a delay: a request that arrives meanwhile must
+/// not count as written slowly.
 const PROCESS_PAUSE: Duration = Duration::from_millis(130);
 
 #[test]
 fn head_written_at_once_waits_for_its_timeout_whatever_others_announce() {
     let site = Site::new();
-    let _held = site.keep_busy();
+    let _busy_clients = site.keep_busy();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     client.send(&bodyless(LONG_TIMEOUT));
@@ -23,7 +25,7 @@
 #[test]
 fn slow_head_waits_for_its_timeout_if_only_retries_announce_less() {
     let site = Site::new();
-    let _held = site.keep_busy();
+    let _busy_clients = site.keep_busy();
     site.announce(&marked_as_retry(&bodyless(SHORT_TIMEOUT)));
     let mut client = site.proxy.client();
     let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
@@ -33,7 +35,7 @@
 #[test]
 fn slow_body_with_key_waits_for_its_timeout_whatever_others_announce() {
     let site = Site::new();
-    let _held = site.keep_busy();
+    let _busy_clients = site.keep_busy();
     site.announce(&with_key(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     let written_at = write_slowly(&mut client, &with_key(LONG_TIMEOUT));
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn slow_request_that_must_not_run_twice_keeps_its_attempt_whatever_others_announce() {
+fn attempt_of_slow_request_that_must_not_run_twice_is_not_cancelled_whatever_others_announce() {
     let site = Site::new();
     site.announce(&unsafe_request(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
@@ -53,16 +55,18 @@
 }
 
 #[test]
-fn time_that_others_waited_before_they_were_read_is_not_taken_off_their_announcements() {
+fn wait_of_others_before_they_were_read_is_not_subtracted_from_their_announced_timeouts() {
     let site = Site::new();
-    let mut held = site.proxy.client();
-    let behind = |number| bodyless(LONG_TIMEOUT).replace("r-slow", &format!("r-behind-{number}"));
-    held.send(&(submit("r-held", "60", "x") + &(0..ANNOUNCEMENTS).map(behind).collect::<String>()));
+    let mut pipelining_client = site.proxy.client();
+    let pipelined_request = |number| bodyless(LONG_TIMEOUT).replace("r-slow", &format!("r-behind-{number}"));
+    pipelining_client.send(
+        &(submit("r-held", "60", "x") + &(0..ANNOUNCEMENTS).map(pipelined_request).collect::<String>()),
+    );
     wait_for("the first request", || site.seen("r-held").is_some());
     thread::sleep(LONG_TIMEOUT - PAUSE);
     site.release.open();
     for _ in 0..=ANNOUNCEMENTS {
-        assert_eq!(status(held.response()), 200);
+        assert_eq!(status(pipelining_client.response()), 200);
     }
     let mut client = site.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn others_that_do_not_wait_at_all_do_not_shorten_the_time_of_a_slow_head() {
+fn announced_timeouts_of_zero_do_not_shorten_the_timeout_of_a_slow_head() {
     let site = Site::new();
     site.announce(&bodyless(Duration::ZERO));
     let mut client = site.proxy.client();
@@ -81,21 +85,21 @@
 }
 
 #[test]
-fn request_written_at_once_keeps_its_timeout_if_the_process_is_held_up() {
+fn request_written_at_once_keeps_its_timeout_if_the_process_is_stopped() {
     let site = Site::new();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     let request = bodyless(LONG_TIMEOUT);
-    let (first, last) = request.split_at(request.len() - 20);
+    let (first_part, last_part) = request.split_at(request.len() - 20);
     let started_at = Instant::now();
-    client.send(first);
-    thread::sleep(Duration::from_millis(20)); // the proxy reads it
+    client.send(first_part);
+    thread::sleep(Duration::from_millis(20)); // until the proxy has read the first part
     site.proxy.pause();
-    client.send(last);
+    client.send(last_part);
     let write_time = started_at.elapsed();
     thread::sleep(PROCESS_PAUSE);
     site.proxy.resume();
-    assert!(write_time < PROCESS_PAUSE / 2, "the client itself was held up: {write_time:?}");
+    assert!(write_time < PROCESS_PAUSE / 2, "the client itself was delayed: {write_time:?}");
     assert_eq!(status(client.response()), 200);
     site.assert_kept_its_timeout("r-slow");
 }
@@ -106,7 +110,7 @@
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     assert_eq!(status(client.request(&bodyless(SHORT_TIMEOUT).replace("r-slow", "r-first"))), 200);
-    client.send("\r\n"); // RFC 9112, 2.2: to be ignored
+    client.send("\r\n"); // an empty line before a request is ignored (RFC 9112, section 2.2)
     thread::sleep(PAUSE);
     client.send(&bodyless(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A fleet of the soak test without faults: it serves and violates no invariant.
+//! Runs the fleet of the soak test without faults: it must serve requests and violate no invariant.
 
 use std::path::PathBuf;
 use std::time::Duration;
