--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,46 +1,46 @@
-//! The command line's arguments.
+//! The command-line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 
-/// The exit codes, at the end of every help text.
+/// A line about the exit codes, printed at the end of every help text.
 const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 wrong usage or configuration.";
 
-/// A reverse proxy for fleets of unequal servers.
+/// A reverse proxy for backends of different speeds.
 ///
-/// A request goes to the fastest server that has capacity, or waits when a faster one is worth the wait.
+/// Sends each request to the fastest backend with free capacity, or queues it if waiting for a faster one pays off.
 #[derive(Debug, Parser)]
 #[command(name = "leadrelay", version, after_help = EXIT_CODES, arg_required_else_help = true, max_term_width = 100)]
 pub struct Cli {
-    /// The command.
+    /// The command to run
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The commands.
+/// The subcommands of `leadrelay`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run the proxy until SIGTERM; SIGHUP reads its configuration again
+    /// Run the proxy until SIGTERM; SIGHUP reloads its configuration
     Serve(ServeArgs),
     /// Report all errors of a configuration file
     Check(CheckArgs),
-    /// Show what a configuration file may contain
+    /// Show the reference of the configuration file
     Config {
-        /// What to show.
+        /// The part of the reference to show
         #[command(subcommand)]
         show: ConfigCommand,
     },
-    /// Run stand-in backends of different speed, the proxy and clients on this machine, and watch them
+    /// Run mock backends of different speeds, the proxy and clients on this machine, and show their activity
     Demo(DemoArgs),
-    /// Call the admin address of a running proxy
+    /// Send a command to the admin address of a running proxy
     Ctl(CtlArgs),
     /// Print the version
     Version,
     /// Print completions for a shell
     Completions {
-        /// The shell.
+        /// The shell
         shell: clap_complete::Shell,
     },
     /// Print the man page
@@ -54,10 +54,10 @@
     /// The configuration, TOML or the operators' JSON
     #[arg(long, short, env = "NODE_CONFIG", value_name = "FILE")]
     pub config: PathBuf,
-    /// The log filter in place of the configuration's, as `debug` or `info,leadrelay::access=off`
+    /// The log filter, for example `debug` or `info,leadrelay::access=off`; overrides the configuration
     #[arg(long, value_name = "FILTER")]
     pub log: Option<String>,
-    /// The log format in place of the configuration's
+    /// The log format; overrides the configuration
     #[arg(long, value_name = "FORMAT")]
     pub log_format: Option<LogFormat>,
 }
@@ -65,9 +65,9 @@
 /// The format of the log.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub enum LogFormat {
-    /// A line of text for each event.
+    /// A line of text for each event
     Text,
-    /// A JSON object for each event.
+    /// A JSON object for each event
     Json,
 }
 
@@ -86,17 +86,17 @@
 /// The commands of `config`.
 #[derive(Debug, Subcommand)]
 pub enum ConfigCommand {
-    /// The JSON schema
+    /// Print the JSON schema of the configuration file
     Schema,
-    /// A file that shows every key
+    /// Print an example file that contains every key
     Example,
-    /// What a key means; without a key, what all of them mean
+    /// Explain one key, or all keys if none is given
     Explain {
         /// The key, for example `classes.deadline`
         #[arg(default_value = "")]
         key: String,
     },
-    /// The reference page, `docs/configuration.md`
+    /// Print the reference page, `docs/configuration.md`
     Markdown,
 }
 
@@ -104,10 +104,10 @@
 #[derive(Debug, Args)]
 #[command(after_help = EXIT_CODES)]
 pub struct DemoArgs {
-    /// End after this many seconds; without it, at Ctrl-C
+    /// Stop after this many seconds instead of at Ctrl-C
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=86_400))]
     pub seconds: Option<u64>,
-    /// Requests a second that clients send
+    /// Requests that the clients send per second
     #[arg(long, value_name = "R", default_value_t = 200.0, value_parser = parse_rate)]
     pub rate: f64,
     /// Print only the summary, as JSON
@@ -115,9 +115,9 @@
     pub json: bool,
 }
 
-/// A rate that is no number or out of range.
+/// The error for a request rate that is not a number or out of range.
 #[derive(Debug, thiserror::Error)]
-#[error("a rate is a number from 1 to 5000")]
+#[error("the rate must be a number from 1 to 5000")]
 struct InvalidRate;
 
 fn parse_rate(text: &str) -> Result<f64, InvalidRate> {
@@ -135,7 +135,7 @@
     /// Print the response as JSON
     #[arg(long, global = true)]
     pub json: bool,
-    /// The call.
+    /// The command to send
     #[command(subcommand)]
     pub call: CtlCommand,
 }
@@ -149,11 +149,11 @@
     Stats,
     /// Show all metrics in the text format of Prometheus
     Metrics,
-    /// Drain: fail the health check, so that no new clients come
+    /// Drain the proxy: fail its health check, so that new clients go to other proxies
     Drain,
-    /// End the drain
+    /// End the draining of the proxy
     Undrain,
-    /// Put a backend into maintenance: it gets no more requests
+    /// Put a backend into maintenance, so that it gets no more requests
     Maint {
         /// The backend's name
         id: String,
--- a/crates/cli/src/config.rs
+++ b/crates/cli/src/config.rs
@@ -1,4 +1,4 @@
-//! The commands `check` and `config`: configuration files and their reference.
+//! The commands `check`, which validates a configuration file, and `config`, which prints the reference of these files.
 
 use std::io::Write as _;
 
@@ -9,7 +9,7 @@
 use crate::error::Error;
 use crate::output::print;
 
-/// Checks a configuration file and prints what is wrong with it.
+/// Validates a configuration file and prints all errors in it, or a summary if it is valid.
 ///
 /// # Errors
 /// If the file is not valid.
@@ -25,7 +25,7 @@
             Ok(())
         }
         Err(faults) => {
-            // A line for each, in the form that editors and scripts read.
+            // One line per error, prefixed with `file:line:column` for editors and scripts.
             let _ = writeln!(std::io::stderr(), "{faults}");
             Err(Error::CheckFailed)
         }
@@ -46,13 +46,13 @@
     };
     let file = args.file.display();
     let classes = config.names.classes.join(", ");
-    print(&format!("{file}: good. {} on {}, {backends}, classes {classes}\n", config.name, config.listen));
+    print(&format!("{file}: valid. {} on {}, {backends}, classes {classes}\n", config.name, config.listen));
 }
 
-/// Prints a part of the reference.
+/// Prints a part of the configuration reference.
 ///
 /// # Errors
-/// If there is no such key.
+/// If the key to explain does not exist.
 pub fn show(command: ConfigCommand) -> Result<(), Error> {
     match command {
         ConfigCommand::Schema => print(&format!("{:#}\n", config::schema())),
--- a/crates/cli/src/ctl/client.rs
+++ b/crates/cli/src/ctl/client.rs
@@ -1,4 +1,4 @@
-//! An HTTP client for one call.
+//! An HTTP client that sends one request to the admin address of a proxy.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,21 +11,22 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// Longer than a proxy takes for any answer, however busy it is.
+/// The time limit for a whole call, from connecting to the last byte of the response. It is longer than any response
+/// takes, even of a busy proxy.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest response that is read, in bytes.
+/// Maximum length of a response body, in bytes.
 const MAX_RESPONSE_LENGTH: usize = 16 << 20;
 
-/// The response to a call.
+/// The response to an admin call.
 pub struct Response {
     pub status: StatusCode,
     pub body: Bytes,
 }
 
-/// Makes a call without a body.
+/// Sends a request without a body to the admin address and reads the response.
 ///
 /// # Errors
-/// If there is no complete response in time.
+/// If no complete response arrives within [`CALL_TIMEOUT`].
 pub async fn call(admin: SocketAddr, method: Method, path: &str) -> anyhow::Result<Response> {
     let result = tokio::time::timeout(CALL_TIMEOUT, exchange(admin, method, path)).await;
     result.unwrap_or_else(|_| bail!("no answer within {} s", CALL_TIMEOUT.as_secs()))
@@ -33,14 +34,16 @@
 
 async fn exchange(admin: SocketAddr, method: Method, path: &str) -> anyhow::Result<Response> {
     let stream = TcpStream::connect(admin).await.context("cannot connect")?;
-    let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await.context("no HTTP")?;
+    let (mut sender, connection) =
+        http1::handshake(TokioIo::new(stream)).await.context("cannot start HTTP")?;
     let connection = tokio::spawn(connection);
     let request = Request::builder().method(method).uri(path).header("host", admin.to_string());
-    let request = request.body(Empty::<Bytes>::new()).context("this can't be a name")?;
-    let response = sender.send_request(request).await.context("no answer")?;
+    let request =
+        request.body(Empty::<Bytes>::new()).context("the backend name is not valid in a URL path")?;
+    let response = sender.send_request(request).await.context("no response")?;
     let status = response.status();
     let body = Limited::new(response.into_body(), MAX_RESPONSE_LENGTH).collect().await;
     connection.abort();
-    let body = body.map_err(|error| anyhow!("the answer is cut short: {error}"))?;
+    let body = body.map_err(|error| anyhow!("the response is incomplete: {error}"))?;
     Ok(Response { status, body: body.to_bytes() })
 }
--- a/crates/cli/src/ctl/mod.rs
+++ b/crates/cli/src/ctl/mod.rs
@@ -1,4 +1,4 @@
-//! The command `ctl`: calls to the admin address of a running proxy.
+//! The command `ctl`, which sends commands to the admin address of a running proxy.
 
 mod client;
 mod table;
@@ -12,25 +12,27 @@
 
 use crate::args::{CtlArgs, CtlCommand};
 
-/// Makes a call and prints the result.
+/// Sends a command to the proxy and prints the response.
 ///
 /// # Errors
-/// If the proxy can't be reached, or refuses.
+/// If the proxy can't be reached or refuses the command.
 pub fn run(args: &CtlArgs, admin: SocketAddr) -> anyhow::Result<()> {
-    let (method, path) = endpoint(&args.call);
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().context("the runtime")?;
+    let (method, path) = method_and_path(&args.call);
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context("cannot start the async runtime")?;
     let response = runtime.block_on(client::call(admin, method, &path));
     let response = response.with_context(|| format!("the proxy at {admin}"))?;
     print_response(args, admin, response.status, &response.body)?;
     if !response.status.is_success() {
-        bail!("the proxy at {admin} says no");
+        bail!("the proxy at {admin} refused the command");
     }
     Ok(())
 }
 
-/// The method and path of a call.
-fn endpoint(command: &CtlCommand) -> (Method, String) {
+/// The method and path of the HTTP request for a command.
+fn method_and_path(command: &CtlCommand) -> (Method, String) {
     match command {
         CtlCommand::Health => (Method::GET, "/healthcheck".to_owned()),
         CtlCommand::Stats => (Method::GET, "/stats".to_owned()),
@@ -46,14 +48,14 @@
     let succeeded = status.is_success();
     match &args.call {
         CtlCommand::Stats if succeeded => {
-            let stats: Value = serde_json::from_slice(body).context("the figures are no JSON")?;
+            let stats: Value = serde_json::from_slice(body).context("the statistics are not valid JSON")?;
             let text = if args.json { stats.to_string() } else { table::stats(&stats) };
             println!("{text}");
         }
         CtlCommand::Metrics if succeeded => print!("{}", String::from_utf8_lossy(body)),
         _ if args.json => println!("{}", json!({"yes": succeeded, "status": status.as_u16()})),
         _ if succeeded => println!("yes"),
-        command => bail!("the proxy at {admin} says no: {}", refusal_reason(command, status)),
+        command => bail!("the proxy at {admin} refused the command: {}", refusal_reason(command, status)),
     }
     Ok(())
 }
@@ -61,10 +63,12 @@
 fn refusal_reason(command: &CtlCommand, status: StatusCode) -> String {
     match (command, status) {
         (CtlCommand::Maint { id } | CtlCommand::Ready { id }, StatusCode::NOT_FOUND) => {
-            format!("no backend named '{id}' has been listed, or the order could not be written down")
+            format!(
+                "no backend named '{id}' has been on the endpoint list, or the proxy could not save the command"
+            )
         }
-        (CtlCommand::Health, StatusCode::SERVICE_UNAVAILABLE) => "it can't serve yet".into(),
-        (_, StatusCode::SERVICE_UNAVAILABLE) => "it did not carry the order out in time; ask again".into(),
-        _ => format!("status {status}"),
+        (CtlCommand::Health, StatusCode::SERVICE_UNAVAILABLE) => "it is not ready".into(),
+        (_, StatusCode::SERVICE_UNAVAILABLE) => "it did not complete the command in time; try again".into(),
+        _ => format!("HTTP status {status}"),
     }
 }
--- a/crates/cli/src/ctl/table.rs
+++ b/crates/cli/src/ctl/table.rs
@@ -1,4 +1,4 @@
-//! The statistics of a proxy as tables.
+//! Formatting of a proxy's statistics as tables.
 
 #[cfg(test)]
 mod tests;
@@ -7,7 +7,7 @@
 use comfy_table::presets::ASCII_MARKDOWN;
 use serde_json::{Map, Value};
 
-/// A table of the classes, then one of what concerns the whole proxy.
+/// Formats two tables: the counts of each request class, then the statistics of the whole proxy.
 pub fn stats(stats: &Value) -> String {
     format!("{}\n\n{}", classes(stats), totals(stats))
 }
@@ -26,7 +26,7 @@
 fn totals(stats: &Value) -> Table {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
-    table.set_header(["figure", "now"]);
+    table.set_header(["statistic", "value"]);
     for (name, value) in stats.as_object().unwrap_or(&Map::new()) {
         if !value.is_object() {
             table.add_row([name.replace('_', " "), value.to_string()]);
--- a/crates/cli/src/ctl/table/tests.rs
+++ b/crates/cli/src/ctl/table/tests.rs
@@ -1,4 +1,4 @@
-//! The tables of the statistics.
+//! Tests of the statistics tables.
 
 use serde_json::json;
 
--- a/crates/cli/src/demo/backend.rs
+++ b/crates/cli/src/demo/backend.rs
@@ -1,4 +1,4 @@
-//! Stand-in backends with one core, a queue and a speed, some of which fail now and then.
+//! Mock backends that process one request at a time at a given speed and queue the others; some fail periodically.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -16,22 +16,22 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, sleep};
 
-/// An unreliable backend fails for so long, then is healthy for as long.
+/// The length of each phase of an unreliable backend, which alternates between healthy and failing.
 const FAILURE_PERIOD: Duration = Duration::from_secs(4);
-/// Mean service time of a request on a backend of speed 1.
+/// The mean service time of a request on a backend of speed 1.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// The machine that a backend stands for.
+/// The simulated machine that a mock backend runs on.
 #[derive(Clone, Copy)]
 pub struct Machine {
     pub name: &'static str,
-    /// Relative to a reference machine.
+    /// The speed relative to a reference machine, which has speed 1.
     pub speed: f64,
-    /// The part of the requests that fail during its failure periods.
+    /// The fraction of requests that fail while the machine is in a failing phase.
     pub failure_rate: f64,
 }
 
-/// What a backend has done since its start.
+/// The counts of a backend since its start, at one moment.
 #[derive(Clone, Copy, Default)]
 pub struct BackendCounts {
     pub served: u64,
@@ -48,7 +48,7 @@
     busy_us: AtomicU64,
 }
 
-/// One stand-in backend, which runs as long as the runtime.
+/// A mock backend, which runs until the runtime is shut down.
 pub struct Backend {
     pub machine: Machine,
     pub address: SocketAddr,
@@ -59,7 +59,7 @@
     /// Starts a backend on a free port.
     ///
     /// # Errors
-    /// If there is no port.
+    /// If no port is free.
     pub async fn start(machine: Machine) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -84,10 +84,10 @@
     }
 }
 
-/// What the connections of a backend share.
+/// The state that all connections of a backend share.
 struct Server {
     machine: Machine,
-    /// Serves one request at a time.
+    /// The machine's single core, as one permit: only one request is processed at a time.
     core: Semaphore,
     counters: Arc<Counters>,
     started_at: Instant,
@@ -118,7 +118,8 @@
         response
     }
 
-    /// Waits for the core and works, between half and one and a half times the mean; returns whether the request succeeds.
+    /// Waits for the core, then simulates the work by sleeping for 0.5 to 1.5 times the mean service time. Returns
+    /// whether the request succeeds.
     async fn work(&self) -> bool {
         let Ok(_core) = self.core.acquire().await else { return false };
         if self.is_failing() && fastrand::f64() < self.machine.failure_rate {
--- a/crates/cli/src/demo/load.rs
+++ b/crates/cli/src/demo/load.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: clients send requests at a rate that does not depend on responses, timed from the intended start.
+//! An open-loop load generator: its clients send requests at a rate that does not depend on the responses. Latency is
+//! measured from the intended start of a request.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -14,24 +15,24 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Idle connections that are kept for later requests.
+/// The maximum number of idle connections that are kept for later requests.
 const MAX_IDLE_CONNECTIONS: usize = 64;
-/// The part of the requests that are not idempotent.
-const ORDER_RATE: f64 = 0.2;
-/// A client gives up after this time.
+/// The fraction of requests that are orders, which are not idempotent.
+const ORDER_FRACTION: f64 = 0.2;
+/// The time after which a client gives up on a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
-/// How long outcomes are waited for after the last time-out.
+/// The additional time, beyond the timeout of the last request, that [`LoadGenerator::finish`] waits for outcomes.
 const FINISH_GRACE: Duration = Duration::from_millis(200);
-/// Between checks whether all requests have an outcome.
+/// The interval between checks whether all requests have an outcome.
 const FINISH_CHECK_PERIOD: Duration = Duration::from_millis(10);
 /// The range of the latency histogram, in microseconds.
 const LATENCY_RANGE_US: (u64, u64) = (1, 60_000_000);
-/// Decimal digits that the latency histogram keeps.
+/// The number of significant decimal digits in the latency histogram.
 const LATENCY_PRECISION: u8 = 3;
 
 type Sender = SendRequest<Empty<Bytes>>;
 
-/// Outcomes of requests.
+/// The number of requests sent, and of those with each outcome.
 #[derive(Clone, Copy, Default)]
 pub struct RequestCounts {
     pub sent: u64,
@@ -42,11 +43,11 @@
 }
 
 impl RequestCounts {
-    fn have_outcomes(&self) -> bool {
+    fn all_have_outcomes(&self) -> bool {
         self.in_time + self.late + self.rejected + self.failed >= self.sent
     }
 
-    /// What has been added since an earlier count.
+    /// The difference to an earlier count.
     pub fn since(&self, earlier: &RequestCounts) -> RequestCounts {
         RequestCounts {
             sent: self.sent - earlier.sent,
@@ -67,13 +68,13 @@
     failed: AtomicU64,
 }
 
-/// All clients of the proxy.
+/// All clients of the proxy, with their idle connections and the outcomes of their requests.
 pub struct LoadGenerator {
     proxy: SocketAddr,
     latency_objective: Duration,
     idle: Mutex<Vec<Sender>>,
     counters: Counters,
-    /// Of served requests, in microseconds.
+    /// Latencies of served requests, in microseconds.
     latencies: Mutex<Histogram<u64>>,
 }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Sends `rate` requests a second, at random times, for ever.
+    /// Sends `rate` requests per second on average, at random times (a Poisson process), until the task is aborted.
     pub async fn run(self: Arc<Self>, rate: f64) {
         let mut next = Instant::now();
         loop {
@@ -101,10 +102,10 @@
         }
     }
 
-    /// Waits until all requests that were sent have an outcome.
+    /// Waits until all requests have an outcome, or until their timeouts and [`FINISH_GRACE`] have passed.
     pub async fn finish(&self) {
         let end = Instant::now() + REQUEST_TIMEOUT + FINISH_GRACE;
-        while !self.counts().have_outcomes() && Instant::now() < end {
+        while !self.counts().all_have_outcomes() && Instant::now() < end {
             sleep(FINISH_CHECK_PERIOD).await;
         }
     }
@@ -124,14 +125,15 @@
         counter.fetch_add(1, Relaxed);
     }
 
-    /// Sends one request, alone on its connection; `None` without a complete response.
+    /// Sends one request over a connection that no other request uses meanwhile; returns `None` if there is no complete
+    /// response.
     async fn exchange(&self) -> Option<StatusCode> {
         let idle = self.idle().pop().filter(SendRequest::is_ready);
         let mut sender = match idle {
             Some(sender) => sender,
             None => self.connect().await?,
         };
-        let is_order = fastrand::f64() < ORDER_RATE;
+        let is_order = fastrand::f64() < ORDER_FRACTION;
         let (method, path) = if is_order { ("POST", "/order") } else { ("GET", "/page") };
         let request = Request::builder().method(method).uri(path).header("host", "demo");
         let response = sender.send_request(request.body(Empty::new()).ok()?).await.ok()?;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// A quantile of the latency of served requests, in milliseconds.
+    /// A quantile of the latency of served requests, in milliseconds with one decimal.
     pub fn latency_quantile_ms(&self, quantile: f64) -> f64 {
         let latency_us = self.latencies().value_at_quantile(quantile);
         (latency_us as f64 / 100.0).round() / 10.0
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,4 +1,4 @@
-//! The command `demo`: stand-in backends of unequal speed, the proxy and clients, all in this process on loopback.
+//! The command `demo`, which runs mock backends of different speeds, the proxy and clients in one process, on loopback.
 
 mod backend;
 mod load;
@@ -19,16 +19,16 @@
 use summary::Summary;
 use view::{Snapshot, View};
 
-/// The latency objective of both classes, as in [`CLASSES`].
+/// The latency objective of both request classes, the same as `aim` in [`CLASSES`].
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(400);
-/// Between updates of the view in a terminal.
+/// The interval between updates of the view in a terminal.
 const TERMINAL_UPDATE_PERIOD: Duration = Duration::from_millis(250);
-/// Between lines where there is no terminal.
+/// The interval between lines of output if standard error is not a terminal.
 const LINE_PERIOD: Duration = Duration::from_secs(1);
-/// How far ahead the next update is looked for if the demo has no end.
+/// The assumed duration of a demo that runs until Ctrl-C; it only limits the time of the next update.
 const NO_END: Duration = Duration::from_secs(86_400);
 
-/// Two new machines, a middling one, an old one, and one that fails now and then.
+/// The machines of the mock backends: two fast ones, one of medium speed, a slow one, and one that fails periodically.
 const MACHINES: [Machine; 5] = [
     Machine { name: "new-1", speed: 3.0, failure_rate: 0.0 },
     Machine { name: "new-2", speed: 3.0, failure_rate: 0.0 },
@@ -37,6 +37,7 @@
     Machine { name: "moody", speed: 1.0, failure_rate: 0.3 },
 ];
 
+/// The request classes of the proxy's configuration, in TOML: idempotent reads and orders that must not run twice.
 const CLASSES: &str = r#"[[classes]]
 name = "read"
 methods = ["GET"]
@@ -52,7 +53,7 @@
 worth = 3.0
 "#;
 
-/// The proxy's configuration. It says nothing about the speed of backends.
+/// Builds the proxy's configuration. It does not contain the speeds of the backends: the proxy has to measure them.
 fn configuration(backends: &[Backend]) -> String {
     let mut text = String::from("name = \"demo\"\nlisten = \"127.0.0.1:0\"\n");
     for backend in backends {
@@ -62,13 +63,15 @@
     text + CLASSES
 }
 
-/// Runs the demo until its time is over or Ctrl-C.
+/// Runs the demo until its time is over or Ctrl-C is pressed.
 ///
 /// # Errors
-/// If an address on loopback can't be had.
+/// If a backend or the proxy can't be started, or if the proxy fails.
 pub fn run(args: &DemoArgs) -> anyhow::Result<()> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().context("the runtime")?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .context("cannot start the async runtime")?;
     runtime.block_on(run_demo(args))
 }
 
@@ -87,19 +90,19 @@
     } else {
         println!("{summary}");
     }
-    proxy.stop().context("the proxy")
+    proxy.stop().context("the proxy failed")
 }
 
 async fn start_backends() -> anyhow::Result<Vec<Backend>> {
     let mut backends = Vec::new();
     for machine in MACHINES {
         let backend = Backend::start(machine).await;
-        backends.push(backend.with_context(|| format!("the stand-in {}", machine.name))?);
+        backends.push(backend.with_context(|| format!("cannot start the mock backend {}", machine.name))?);
     }
     Ok(backends)
 }
 
-/// Shows what happens until the end.
+/// Updates the view until the demo's time is over or Ctrl-C is pressed.
 async fn watch(args: &DemoArgs, proxy: &RunningProxy, backends: &[Backend], load: &LoadGenerator) {
     let is_terminal = std::io::stderr().is_terminal() && !args.json;
     let period = if is_terminal { TERMINAL_UPDATE_PERIOD } else { LINE_PERIOD };
@@ -107,7 +110,7 @@
     let end = args.seconds.map(|seconds| start + Duration::from_secs(seconds));
     let mut view = View::new(is_terminal, args.json, backends);
     let mut before = Snapshot::take(proxy, backends, load);
-    // One listener for the whole time: a Ctrl-C during an update would be lost otherwise.
+    // One signal listener serves all iterations: with a new one in each, a Ctrl-C during an update would be lost.
     let interrupt = tokio::signal::ctrl_c();
     tokio::pin!(interrupt);
     loop {
--- a/crates/cli/src/demo/summary.rs
+++ b/crates/cli/src/demo/summary.rs
@@ -11,15 +11,15 @@
 use super::backend::{Backend, BackendCounts, Machine};
 use super::load::{LoadGenerator, RequestCounts};
 
-/// What happened from start to end.
+/// The results of the whole demo.
 pub struct Summary {
     requests: RequestCounts,
     p50_ms: f64,
     p99_ms: f64,
     backends: Vec<BackendSummary>,
-    /// Requests by the proxy's cause of their end.
+    /// The number of requests by cause of completion, as the proxy's metrics name it.
     causes: Map<String, Value>,
-    /// The proxy's decisions, by name.
+    /// The number of the proxy's threshold decisions, by name.
     decisions: Map<String, Value>,
 }
 
@@ -65,7 +65,7 @@
     fn backend_table(&self) -> Table {
         let mut table = Table::new();
         table.load_preset(ASCII_MARKDOWN);
-        table.set_header(["backend", "speed", "served", "failed", "seconds at work"]);
+        table.set_header(["backend", "speed", "served", "failed", "busy seconds"]);
         for BackendSummary { machine, counts } in &self.backends {
             table.add_row([
                 machine.name.to_owned(),
@@ -78,12 +78,13 @@
         table
     }
 
-    /// A count with its part of all requests.
+    /// Formats a count with its percentage of all requests.
     fn with_percentage(&self, count: u64) -> String {
         let sent = self.requests.sent.max(1) as f64;
         format!("{count} ({:.1}%)", 100.0 * count as f64 / sent)
     }
 
+    /// The number of threshold decisions with this name.
     fn decisions(&self, name: &str) -> u64 {
         self.decisions.get(name).and_then(Value::as_u64).unwrap_or(0)
     }
@@ -105,7 +106,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         write!(
             formatter,
-            "{} requests: in time {}, late {}, refused {}, failed {}; ",
+            "{} requests: in time {}, late {}, rejected {}, failed {}; ",
             self.requests.sent,
             self.with_percentage(self.requests.in_time),
             self.with_percentage(self.requests.late),
@@ -114,15 +115,15 @@
         )?;
         write!(
             formatter,
-            "half within {} ms, 99 of 100 within {} ms\n\n{}\n\n",
+            "p50 {} ms, p99 {} ms\n\n{}\n\n",
             json!(self.p50_ms),
             json!(self.p99_ms),
             self.backend_table(),
         )?;
         write!(
             formatter,
-            "The threshold sent {} at once, {} as the queue had outgrown it, {} near their aim, and held {} looks for \
-             a faster backend.",
+            "Threshold decisions: {} sent at once, {} sent because the queue exceeded the threshold, {} sent near \
+             their latency objective, {} held for a faster backend.",
             self.decisions("at_once"),
             self.decisions("past_threshold"),
             self.decisions("urgent"),
@@ -131,7 +132,7 @@
     }
 }
 
-/// Seconds, to the millisecond.
+/// A duration in seconds, rounded to the millisecond.
 fn seconds(duration: Duration) -> f64 {
     (duration.as_secs_f64() * 1000.0).round() / 1000.0
 }
--- a/crates/cli/src/demo/view.rs
+++ b/crates/cli/src/demo/view.rs
@@ -1,4 +1,4 @@
-//! The view of a running demo: bars in a terminal, lines elsewhere.
+//! The live view of a running demo: progress bars in a terminal, otherwise lines of text.
 
 use std::fmt::Write as _;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use super::backend::{Backend, BackendCounts};
 use super::load::{LoadGenerator, RequestCounts};
 
-/// All counts at one moment.
+/// All counts and latencies at one moment.
 pub struct Snapshot {
     requests: RequestCounts,
     backends: Vec<BackendCounts>,
@@ -33,7 +33,7 @@
     }
 }
 
-/// What a backend did between two snapshots.
+/// The activity of a backend between two snapshots; `in_flight` is the count at the later one.
 struct BackendActivity {
     served: u64,
     failed: u64,
@@ -41,15 +41,17 @@
     busy_time: Duration,
 }
 
-/// How the demo is shown.
+/// The form in which the demo's progress is shown.
 pub enum View {
+    /// Progress bars in a terminal.
     Bars(Bars),
-    /// A line for each update, with the names of the backends.
+    /// A line of text for each update. Contains the names of the backends.
     Lines(Vec<&'static str>),
+    /// No output.
     Silent,
 }
 
-/// Lines and bars in a terminal.
+/// The terminal view: a line each for requests and decisions, and a bar for each backend that shows how busy it is.
 pub struct Bars {
     all: MultiProgress,
     requests: ProgressBar,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Shows what has happened since the snapshot before.
+    /// Shows the activity between two snapshots, and the time since the start of the demo.
     pub fn update(&mut self, elapsed: Duration, before: &Snapshot, now: &Snapshot) {
         let requests = requests_line(elapsed, before, now);
         let decisions = decisions_line(before, now);
@@ -90,7 +92,7 @@
     /// Removes the bars from the terminal.
     pub fn close(&self) {
         if let View::Bars(bars) = self {
-            let _ = bars.all.clear(); // bars that can't be removed stay
+            let _ = bars.all.clear(); // a failure only leaves the bars on the terminal
         }
     }
 }
@@ -131,7 +133,7 @@
 fn requests_line(elapsed: Duration, before: &Snapshot, now: &Snapshot) -> String {
     let RequestCounts { in_time, late, rejected, failed, .. } = now.requests.since(&before.requests);
     format!(
-        "{:>4.0} s  in time {in_time}  late {late}  refused {rejected}  failed {failed}  waiting {}  p50 {:.1} ms  \
+        "{:>4.0} s  in time {in_time}  late {late}  rejected {rejected}  failed {failed}  waiting {}  p50 {:.1} ms  \
          p99 {:.1} ms",
         elapsed.as_secs_f64(),
         now.waiting,
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,14 +1,14 @@
-//! Why the program ends without success, and with which exit code.
+//! The errors that end the program, and their exit codes.
 
 use std::io;
 use std::process::ExitCode;
 
 use leadrelay_proxy::config::Faults;
 
-/// Exit code: what was asked for could not be done.
-const FAILED: u8 = 1;
-/// Exit code: the command line, the environment or the configuration has to change.
-const USAGE: u8 = 2;
+/// The exit code if the command failed.
+const EXIT_FAILED: u8 = 1;
+/// The exit code if the command line, the environment or the configuration has to be corrected.
+const EXIT_USAGE: u8 = 2;
 
 /// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
@@ -17,14 +17,14 @@
     Proxy(#[from] leadrelay_proxy::Error),
     #[error(transparent)]
     InvalidConfiguration(#[from] Faults),
-    /// `check` has printed the errors of the file itself.
+    /// The file that `check` validated has errors, which have been printed already.
     #[error("the configuration is not valid")]
     CheckFailed,
-    #[error("NODE_ADMIN_ADDR is no address")]
+    #[error("NODE_ADMIN_ADDR is not a socket address")]
     InvalidAdminVariable,
-    #[error("--admin ADDR, the proxy's second address, is missing")]
+    #[error("--admin ADDR, the admin address of the proxy, is missing")]
     MissingAdminAddress,
-    #[error("no key '{0}'; `leadrelay config explain` tells all")]
+    #[error("unknown key '{0}'; `leadrelay config explain` lists all keys")]
     UnknownKey(String),
     #[error("{0:#}")]
     Logging(#[source] anyhow::Error),
@@ -37,15 +37,15 @@
 impl Error {
     /// The exit code of the program.
     pub fn exit_code(&self) -> ExitCode {
-        ExitCode::from(if self.is_usage() { USAGE } else { FAILED })
+        ExitCode::from(if self.is_usage() { EXIT_USAGE } else { EXIT_FAILED })
     }
 
-    /// Whether the message has been printed already.
+    /// Whether the error has been printed already, so that `main` must not print it again.
     pub fn is_reported(&self) -> bool {
         matches!(self, Error::CheckFailed)
     }
 
-    /// Whether whoever started the program has to change something.
+    /// Whether the user has to correct the command line, the environment or the configuration.
     fn is_usage(&self) -> bool {
         match self {
             Error::Proxy(error) => error.is_usage(),
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,4 +1,4 @@
-//! The log: events to standard error, as text or JSON, at a limited rate and without blocking the proxy.
+//! Logging: writes events to standard error as text or JSON, at a limited rate and without blocking the proxy.
 
 #[cfg(test)]
 mod tests;
@@ -18,20 +18,23 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// Lines that wait to be written; further ones are dropped.
+/// The maximum number of lines that are buffered until they are written; further lines are dropped.
 const MAX_BUFFERED_LINES: usize = 1024;
-/// Events that one call site may log in a window; further ones are dropped and counted. Events below `info` are not
-/// limited, as they are switched on to follow single requests.
+/// The maximum number of events that one call site may log per [`WINDOW`]; further ones are dropped and counted. Events
+/// below level `info` are not limited, because they are enabled to trace single requests.
 const MAX_EVENTS_PER_WINDOW: u32 = 20;
+/// The length of the window over which the events of a call site are limited.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Starts the log. The guard that is returned flushes it when dropped.
+/// Initializes logging for the process. Dropping the returned guard flushes the buffered lines.
 ///
 /// # Errors
-/// If the filter is malformed, or if a log has been started before.
+/// If the filter is malformed, or if logging has been initialized before.
 pub fn start(logging: &Logging) -> anyhow::Result<WorkerGuard> {
-    let targets: Targets =
-        logging.filter.parse().with_context(|| format!("'{}' is no filter for the log", logging.filter))?;
+    let targets: Targets = logging
+        .filter
+        .parse()
+        .with_context(|| format!("'{}' is no filter for log events", logging.filter))?;
     let builder =
         NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LINES).thread_name("log");
     let (writer, guard) = builder.finish(std::io::stderr());
@@ -40,27 +43,28 @@
     let layer = tracing_subscriber::fmt::layer().with_writer(writer);
     let layer = if json { layer.json().flatten_event(true).boxed() } else { layer.boxed() };
     let layer = LimitedLayer { limiter, inner: layer }.with_filter(targets);
-    tracing_subscriber::registry().with(layer).try_init().context("the log")?;
+    tracing_subscriber::registry().with(layer).try_init().context("cannot initialize logging")?;
     Ok(guard)
 }
 
-/// What one call site has logged in its current window.
-struct SiteWindow {
+/// The number of events of one call site in its current window, dropped ones included.
+struct CallSiteWindow {
     started_at: Instant,
     events: u32,
 }
 
-/// Whether an event is logged.
+/// The limiter's decision on an event.
 #[derive(Debug, PartialEq)]
 struct Admission {
     is_admitted: bool,
-    /// How many events of the call site were dropped in the window before, when a new one begins.
+    /// The number of events of the call site that were dropped in the preceding window if this event starts a new one,
+    /// otherwise 0.
     dropped_before: u32,
 }
 
-/// Limits the events of each call site.
+/// Limits the rate of log events separately for each call site.
 struct CallSiteLimiter {
-    windows: Mutex<HashMap<Identifier, SiteWindow>>,
+    windows: Mutex<HashMap<Identifier, CallSiteWindow>>,
     json: bool,
     writer: Arc<Mutex<NonBlocking>>,
 }
@@ -73,33 +77,35 @@
     /// Counts an event and decides whether it is logged.
     fn admit(&self, site: Identifier, now: Instant) -> Admission {
         let mut windows = self.windows.lock().unwrap_or_else(PoisonError::into_inner);
-        let window = windows.entry(site).or_insert(SiteWindow { started_at: now, events: 0 });
+        let window = windows.entry(site).or_insert(CallSiteWindow { started_at: now, events: 0 });
         let mut dropped_before = 0;
         if now.duration_since(window.started_at) >= WINDOW {
             dropped_before = window.events.saturating_sub(MAX_EVENTS_PER_WINDOW);
-            *window = SiteWindow { started_at: now, events: 0 };
+            *window = CallSiteWindow { started_at: now, events: 0 };
         }
         window.events += 1;
         Admission { is_admitted: window.events <= MAX_EVENTS_PER_WINDOW, dropped_before }
     }
 
-    /// Logs how many events of a call site were dropped, past the subscriber: as an event it would be limited itself.
+    /// Logs how many events of a call site were dropped. Writes the line directly, without the subscriber, because an
+    /// event would itself be subject to the limit.
     fn log_dropped(&self, site: &Metadata, dropped: u32) {
         let file = site.file().unwrap_or("?");
         let line = site.line().unwrap_or(0);
         let text = if self.json {
             format!(
-                "{{\"level\":\"WARN\",\"message\":\"events left out\",\"left_out\":{dropped},\"place\":\"{file}:{line}\"}}\n"
+                "{{\"level\":\"WARN\",\"message\":\"events dropped\",\"left_out\":{dropped},\"place\":\"{file}:{line}\"}}\n"
             )
         } else {
-            format!("WARN leadrelay::log: events left out left_out={dropped} place=\"{file}:{line}\"\n")
+            format!("WARN leadrelay::log: events dropped left_out={dropped} place=\"{file}:{line}\"\n")
         };
         let mut writer = self.writer.lock().unwrap_or_else(PoisonError::into_inner);
-        let _ = writer.write_all(text.as_bytes()); // dropped if the buffer is full
+        let _ = writer.write_all(text.as_bytes()); // the line is dropped if the buffer is full
     }
 }
 
-/// A layer that passes on the events that its limiter admits. It passes on no spans, as the proxy has none.
+/// A layer that forwards to its inner layer the events that its limiter admits. It forwards no spans, because the proxy
+/// creates none.
 struct LimitedLayer<L> {
     limiter: CallSiteLimiter,
     inner: L,
--- a/crates/cli/src/logging/tests.rs
+++ b/crates/cli/src/logging/tests.rs
@@ -1,4 +1,4 @@
-//! The limit on events of a call site.
+//! Tests of the limit on log events per call site.
 
 use super::*;
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `leadrelay`.
+//! The command-line program `leadrelay`, a reverse proxy for backends of different speeds.
 
 mod args;
 mod config;
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,8 +1,9 @@
-//! Standard output.
+//! Printing to standard output.
 
 use std::io::Write as _;
 
-/// Prints text. Its reader may close the pipe early, as `head` does, which is no error.
+/// Prints text to standard output. Write errors are ignored, because a reader such as `head` may close the pipe
+/// early.
 pub fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! The command `serve`: runs the proxy.
+//! The command `serve`, which runs the proxy.
 
 use leadrelay_proxy::Process;
 use leadrelay_proxy::config::{self, Config, Format, Origin};
@@ -7,13 +7,13 @@
 use crate::error::Error;
 use crate::logging;
 
-/// The admin address on the operators' platform, if the configuration has none.
+/// The environment variable with the admin address on the operators' platform, used if the configuration has none.
 const ADMIN_VARIABLE: &str = "NODE_ADMIN_ADDR";
 
 /// Runs the proxy until it is terminated.
 ///
 /// # Errors
-/// If the configuration or the environment can't be used, or if the proxy fails.
+/// If the configuration or the environment is not valid, or if the proxy fails.
 pub fn run(args: ServeArgs) -> Result<(), Error> {
     let mut process = Process::new()?;
     let file = args.config.clone();
@@ -32,7 +32,8 @@
     Ok(process.serve(&args.config, config)?)
 }
 
-/// Takes the admin address from the environment, where the operators' platform may give it.
+/// Reads the admin address from the environment if the configuration has none and is in the operators' JSON format,
+/// that is, if the proxy runs on their platform.
 fn apply_environment(config: &mut Config) -> Result<(), Error> {
     if config.admin.is_some() || !matches!(config.origin, Origin::Platform(_)) {
         return Ok(());
--- a/crates/cli/tests/sockets/backend.rs
+++ b/crates/cli/tests/sockets/backend.rs
@@ -1,4 +1,4 @@
-//! A stand-in backend.
+//! A mock backend that records its requests and replies to them as the test prescribes.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,20 +9,20 @@
 use super::message::{Message, read_message};
 use super::wait_for;
 
-/// What a backend does with a request.
+/// The action of a mock backend on a request.
 #[derive(Clone)]
 pub enum Reply {
-    /// Writes these bytes and keeps the connection.
+    /// Writes this response and keeps the connection open.
     Write(String),
-    /// Writes these bytes and closes.
+    /// Writes this response and closes the connection.
     WriteAndClose(String),
-    /// Waits until the latch opens, then writes these bytes.
+    /// Waits until the latch opens, then writes this response.
     Delayed(Latch, String),
-    /// Writes the first bytes, and the others once the latch opens.
+    /// Writes the first part of a response, waits until the latch opens, then writes the second part.
     InParts(String, Latch, String),
 }
 
-/// A latch that is opened once; replies that wait for it are written then.
+/// A latch that the test opens once; replies that wait for it are then written.
 #[derive(Clone, Default)]
 pub struct Latch(Arc<AtomicUsize>);
 
@@ -32,21 +32,21 @@
     }
 
     fn wait(&self) {
-        wait_for("a latch", || self.0.load(Ordering::SeqCst) == 1);
+        wait_for("the latch to open", || self.0.load(Ordering::SeqCst) == 1);
     }
 }
 
-/// A successful response.
+/// A response with status 200 and this body.
 pub fn ok(body: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Own: kept\r\n\r\n{body}", body.len())
 }
 
-/// A response without a body.
+/// A response with this status line and no body.
 pub fn empty(status: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// What a backend has seen.
+/// The requests that a backend has received, and the counts of its connections and responses.
 #[derive(Default)]
 struct Record {
     requests: Mutex<Vec<Message>>,
@@ -55,18 +55,19 @@
     responses: AtomicUsize,
 }
 
-/// A backend that records all requests.
+/// A mock backend on a free port of loopback.
 pub struct Backend {
     pub address: SocketAddr,
     record: Arc<Record>,
 }
 
 impl Backend {
-    /// A backend that treats all requests alike.
+    /// Starts a backend that replies to all requests in the same way.
     pub fn new(reply: Reply) -> Self {
         Backend::with(move |_| reply.clone())
     }
 
+    /// Starts a backend that chooses its reply by the request.
     pub fn with(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -87,33 +88,33 @@
         backend
     }
 
-    /// Requests that have come.
+    /// The requests received so far.
     pub fn requests(&self) -> Vec<Message> {
         self.record.requests.lock().expect("no panic").clone()
     }
 
-    /// How many connections have been accepted.
+    /// The number of connections accepted so far.
     pub fn accepted(&self) -> usize {
         self.record.accepted.load(Ordering::SeqCst)
     }
 
-    /// How many connections have ended.
+    /// The number of connections that have ended.
     pub fn closed(&self) -> usize {
         self.record.closed.load(Ordering::SeqCst)
     }
 
-    /// How many responses have been written.
+    /// The number of responses that have been written completely.
     pub fn responses(&self) -> usize {
         self.record.responses.load(Ordering::SeqCst)
     }
 }
 
 fn serve(mut stream: TcpStream, record: &Record, reply: &dyn Fn(&Message) -> Reply) {
-    let mut reader = BufReader::new(stream.try_clone().expect("a handle"));
+    let mut reader = BufReader::new(stream.try_clone().expect("the stream can be cloned"));
     while let Some(request) = read_message(&mut reader) {
         let reply = reply(&request);
         record.requests.lock().expect("no panic").push(request);
-        // The proxy may have closed the connection meanwhile.
+        // A write may fail because the proxy has closed the connection.
         let written = match reply {
             Reply::Write(text) => stream.write_all(text.as_bytes()),
             Reply::WriteAndClose(text) => {
@@ -121,10 +122,12 @@
                 let _ = stream.shutdown(Shutdown::Both);
                 return;
             }
-            Reply::InParts(first, latch, rest) => stream.write_all(first.as_bytes()).and_then(|()| {
-                latch.wait();
-                stream.write_all(rest.as_bytes())
-            }),
+            Reply::InParts(first_part, latch, second_part) => {
+                stream.write_all(first_part.as_bytes()).and_then(|()| {
+                    latch.wait();
+                    stream.write_all(second_part.as_bytes())
+                })
+            }
             Reply::Delayed(latch, text) => {
                 latch.wait();
                 stream.write_all(text.as_bytes())
--- a/crates/cli/tests/sockets/listener.rs
+++ b/crates/cli/tests/sockets/listener.rs
@@ -4,7 +4,8 @@
 
 use super::{system, wait_for};
 
-/// An address that refuses connections until it is opened. Nobody else gets it meanwhile.
+/// An address that refuses connections until it is opened. Its port stays bound meanwhile, so that no other process
+/// gets it.
 pub struct RefusingAddress {
     pub address: SocketAddr,
     socket: socket2::Socket,
@@ -20,40 +21,43 @@
         RefusingAddress { address, socket }
     }
 
+    /// Listens on the address, which accepts connections from then on.
     pub fn open(self) -> TcpListener {
-        self.socket.listen(128).expect("a queue");
+        self.socket.listen(128).expect("it can listen");
         self.socket.into()
     }
 }
 
-/// Waits until the close of a connection at `from` has reached the other side, at `to`, which takes its time on a busy
-/// machine.
-pub fn wait_for_close(from: SocketAddr, to: SocketAddr) {
-    wait_for("a connection's end", || !system::is_established(to, from));
+/// Waits until the end at `receiver` of a connection has received the close by the end at `closer`. On a busy machine
+/// this takes a while.
+pub fn wait_for_close(closer: SocketAddr, receiver: SocketAddr) {
+    wait_for("the end of a connection", || !system::is_established(receiver, closer));
 }
 
-/// A listener whose accept queue is full: connections to it are not established until `accept` has made room.
+/// A listener whose accept queue is full, and the connection that fills it. Further connections are not established
+/// until `accept` has made room.
 pub fn full_listener() -> (TcpListener, TcpStream) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
     let any: SocketAddr = "127.0.0.1:0".parse().expect("an address");
     socket.bind(&any.into()).expect("a port");
-    socket.listen(0).expect("a queue");
+    socket.listen(0).expect("it can listen");
     let listener = TcpListener::from(socket);
     let filler = fill_accept_queue(&listener);
     (listener, filler)
 }
 
-/// Fills the accept queue with its one connection. It may be established at this end before it is in the queue.
+/// Fills an accept queue that has room for one connection, and waits until the connection is in it: it may be
+/// established at the client's end before that.
 pub fn fill_accept_queue(listener: &TcpListener) -> TcpStream {
     let address = listener.local_addr().expect("an address");
-    let filler = TcpStream::connect(address).expect("the queue is empty");
-    wait_for("a full queue", || system::accept_queue(address) == 1);
+    let filler = TcpStream::connect(address).expect("the accept queue is empty");
+    wait_for("the accept queue to be full", || system::accept_queue(address) == 1);
     filler
 }
 
-/// Accepts the connection that fills the queue, then the next one, which can be established by that.
+/// Accepts the connection that fills the queue, which makes room for the next one, and accepts that as well.
 pub fn accept_connecting(listener: &TcpListener, filler: &TcpStream) -> TcpStream {
-    let (_, from) = listener.accept().expect("the filler");
-    assert_eq!(from, filler.local_addr().expect("its own"), "the queue held nothing else");
-    listener.accept().expect("the proxy's").0
+    let (_, remote) = listener.accept().expect("the connection that fills the queue");
+    assert_eq!(remote, filler.local_addr().expect("an address"), "the queue contained only the filler");
+    listener.accept().expect("the proxy's connection").0
 }
--- a/crates/cli/tests/sockets/message.rs
+++ b/crates/cli/tests/sockets/message.rs
@@ -1,8 +1,8 @@
-//! HTTP messages, read with blocking sockets.
+//! HTTP/1.1 messages and a blocking reader for them.
 
 use std::io::BufRead;
 
-/// A message as read off a connection.
+/// A request or response as read from a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
     pub first_line: String,
@@ -11,6 +11,7 @@
 }
 
 impl Message {
+    /// The value of the first header with this name, in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -18,20 +19,23 @@
             .map(|(_, value)| value.as_str())
     }
 
+    /// The status code of a response, or 0 if the first line has none.
     pub fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
+    /// The request id, or an empty text if there is none.
     pub fn id(&self) -> &str {
         self.header("x-request-id").unwrap_or("")
     }
 
+    /// The body as text.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 }
 
-/// Reads a message; `None` if the connection ends before one is complete.
+/// Reads a message; `None` if the connection ends before the message is complete.
 pub fn read_message(stream: &mut impl BufRead) -> Option<Message> {
     let mut message = read_head(stream)?;
     if message.header("transfer-encoding").is_some() {
@@ -43,7 +47,7 @@
     Some(message)
 }
 
-/// Reads a message without its body; `None` if the connection ends before its head is complete.
+/// Reads the head of a message, without its body; `None` if the connection ends before the head is complete.
 pub fn read_head(stream: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
     loop {
@@ -63,7 +67,7 @@
     }
 }
 
-/// Reads a chunked body, up to its last chunk and no trailers.
+/// Reads a chunked body up to its last chunk. Trailers are not supported.
 fn read_chunks(stream: &mut impl BufRead, mut message: Message) -> Option<Message> {
     loop {
         let mut line = String::new();
--- a/crates/cli/tests/sockets/mod.rs
+++ b/crates/cli/tests/sockets/mod.rs
@@ -1,6 +1,6 @@
-//! A proxy process on loopback, with a stand-in discovery, stand-in backends and clients for it. All ports are the system's
-//! choice, and all waits end on a condition or after a generous limit.
-#![allow(dead_code, unused_imports)] // each test file uses its own part
+//! Test support: runs a proxy process on loopback with a mock discovery, mock backends and test clients. The operating
+//! system chooses all ports. All waits end when a condition is met, or fail after the generous [`LIMIT`].
+#![allow(dead_code, unused_imports)] // each test file uses only some of these helpers
 
 mod backend;
 pub mod cancellation;
@@ -29,24 +29,24 @@
 pub use scripted_discovery::{ScriptedDiscovery, ScriptedResponse};
 pub use setup::{Platform, Setup, config, config_file, setup_with_admin, setup_with_platform};
 
-/// No wait takes longer, however loaded the machine.
+/// The time limit of every wait, long enough for a heavily loaded machine.
 pub const LIMIT: Duration = Duration::from_secs(30);
 
-/// Waits until a condition is met.
-pub fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) {
+/// Waits until a condition is met; panics after [`LIMIT`] with a message that names the condition.
+pub fn wait_for(condition: &str, mut is_met: impl FnMut() -> bool) {
     let end = Instant::now() + LIMIT;
     while !is_met() {
-        assert!(Instant::now() < end, "waited in vain for {what}");
+        assert!(Instant::now() < end, "timed out after {LIMIT:?} waiting for {condition}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The status of a response that has to be there.
+/// The status of a response; panics if there is none.
 pub fn status(response: Option<Message>) -> u16 {
     response.expect("a response").status()
 }
 
-/// A ready proxy with these backends, all up.
+/// Starts a discovery that lists these backends as up, and a proxy with default settings; waits until it is ready.
 pub fn proxy_with(backends: &[&Backend]) -> (Discovery, Proxy) {
     let discovery = Discovery::new();
     discovery.publish(&all_up(backends));
--- a/crates/cli/tests/sockets/setup.rs
+++ b/crates/cli/tests/sockets/setup.rs
@@ -1,4 +1,4 @@
-//! The settings of a proxy under test.
+//! The settings of a proxy under test, and the configuration that is made from them.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -6,20 +6,23 @@
 
 /// The settings of a proxy under test.
 pub struct Setup {
-    /// The cached list, as JSON.
+    /// The cached endpoint list in the configuration, as JSON; `null` for none.
     pub cached_list: String,
+    /// The `sockets` limit in the configuration.
     pub max_descriptors: usize,
+    /// The time after which idle connections are closed, in milliseconds.
     pub idle_timeout_ms: u32,
+    /// The timeout for connecting to a backend, in milliseconds.
     pub connect_timeout_ms: u32,
-    /// Of every class; its latency objective is four fifths of it.
+    /// The deadline of every request class, in milliseconds. The latency objective is four fifths of it.
     pub deadline_ms: u32,
-    /// Its own and its peer's gossip address.
+    /// The gossip addresses of this proxy and of its only peer; no gossip if `None`.
     pub gossip: Option<(SocketAddr, SocketAddr)>,
-    /// Whether it has an admin address.
+    /// Whether the proxy has an admin address.
     pub has_admin: bool,
-    /// The platform, if it passes a listening socket.
+    /// The platform that passes a listening socket to the proxy; `None` if the proxy opens its own.
     pub platform: Option<Platform>,
-    /// Descriptors that the system allows the process.
+    /// The operating system's limit on the file descriptors of the process (`ulimit -n`).
     pub descriptor_limit: Option<u32>,
 }
 
@@ -39,27 +42,28 @@
     }
 }
 
-/// The defaults, with an admin address.
+/// The default settings, with an admin address.
 pub fn setup_with_admin() -> Setup {
     Setup { has_admin: true, ..Setup::default() }
 }
 
-/// The defaults, with an admin address and a platform; and the folder that the platform's processes share.
+/// The default settings, with an admin address and a platform. The second value is the folder that the platform's
+/// processes share.
 pub fn setup_with_platform(name: &str) -> (Setup, PathBuf) {
     let platform = Platform::new(name);
     let folder = platform.folder.clone();
     (Setup { platform: Some(platform), ..setup_with_admin() }, folder)
 }
 
-/// The platform of a proxy that passes it a listening socket.
+/// The mock platform of a proxy, which passes a listening socket to it.
 pub struct Platform {
     pub listener: TcpListener,
-    /// The folder that the processes of the proxy share.
+    /// The folder that successive processes of the proxy share.
     pub folder: PathBuf,
 }
 
 impl Platform {
-    /// A platform with a folder of its own.
+    /// Creates a platform with a listener and a new folder, whose name contains `name`.
     pub fn new(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("platform-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
@@ -67,13 +71,13 @@
     }
 }
 
-/// A configuration, as the operators' JSON.
+/// The configuration for these settings, in the operators' JSON format.
 pub fn config(discovery: SocketAddr, setup: &Setup) -> String {
     let gossip_enabled = setup.gossip.is_some();
     let deadline = setup.deadline_ms;
     let latency_objective = deadline / 5 * 4;
-    let peers = setup.gossip.map_or(String::new(), |(own, other)| {
-        format!(r#""peer_listen":"{own}","peers":["{own}","{other}"],"peers_all":"{other}","#)
+    let peers = setup.gossip.map_or(String::new(), |(own, peer)| {
+        format!(r#""peer_listen":"{own}","peers":["{own}","{peer}"],"peers_all":"{peer}","#)
     });
     let admin = if setup.has_admin { r#""admin_addr":"127.0.0.1:0","# } else { "" };
     format!(
@@ -94,10 +98,10 @@
     )
 }
 
-/// Files written by this process, for unique names.
+/// The number of configuration files that this process has written, which makes their names unique.
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
-/// Writes a configuration where the process finds it.
+/// Writes a configuration to a new temporary file and returns its path.
 pub fn config_file(text: &str) -> PathBuf {
     let number = FILES.fetch_add(1, Ordering::SeqCst);
     let file = std::env::temp_dir().join(format!("leadrelay-{}-{number}.json", std::process::id()));
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -1,4 +1,6 @@
-//! A site whose clients write requests slowly, or announce how long they wait with requests that they write at once.
+//! Support for tests of slowly written requests. A client announces in `X-Timeout` how long it waits for a response.
+//! The client of a slowly written request may wait less than it announces, so the proxy goes by the timeouts that other
+//! clients announce with requests that they write at once.
 
 use std::thread;
 use std::time::{Duration, Instant};
@@ -12,22 +14,25 @@
 use super::setup::{Setup, config};
 use super::wait_for;
 
-/// What impatient clients announce, and what a slowly written request does.
+/// The timeout that impatient clients announce.
 pub const SHORT_TIMEOUT: Duration = Duration::from_millis(700);
+/// The timeout that a slowly written request announces.
 pub const LONG_TIMEOUT: Duration = Duration::from_millis(2400);
-/// The pause within a slowly written request.
+/// The pause before the last bytes of a slowly written request.
 pub const PAUSE: Duration = Duration::from_millis(400);
-/// A response may come this long after the end of the client's time, and this long before it.
+/// The maximum time by which a rejection may come after the client's timeout.
 pub const MAX_LATENESS: Duration = Duration::from_millis(400);
+/// The maximum time by which a rejection may come before the client's timeout.
 pub const MAX_EARLINESS: Duration = Duration::from_millis(600);
-/// An attempt at an open backend starts this soon.
+/// The maximum time until an attempt starts if the backend has a free slot.
 pub const MAX_ATTEMPT_DELAY: Duration = Duration::from_millis(300);
-/// Announcements by which a slowly written request is judged.
+/// The number of requests with which the other clients announce their timeout, enough for the proxy to rely on it.
 pub const ANNOUNCEMENTS: usize = 3;
-/// Requests that keep the backend busy, most of them in the proxy's queue.
-pub const HELD_REQUESTS: u64 = 12;
+/// The number of requests that keep the backend busy. Most of them are in the proxy's queue.
+pub const DELAYED_REQUESTS: u64 = 12;
 
-/// A proxy whose one backend answers requests named `r-held` only once it is released, and all others promptly.
+/// A proxy with a single backend, which delays requests whose id starts with `r-held` until it is released, and
+/// responds to all others at once.
 pub struct Site {
     pub release: Latch,
     backend: Backend,
@@ -36,6 +41,7 @@
 }
 
 impl Site {
+    /// Starts the backend, its discovery and the proxy; waits until the proxy is ready.
     pub fn new() -> Self {
         let release = Latch::default();
         let backend = delaying_backend(&release, "r-held");
@@ -48,54 +54,57 @@
         Site { release, backend, proxy, _discovery: discovery }
     }
 
-    /// Makes the backend busy; returns the clients that keep it so.
+    /// Fills all slots of the backend with delayed requests, until some wait in the queue. Returns their clients, which
+    /// have to stay connected.
     pub fn keep_busy(&self) -> Vec<Client> {
-        let held = fill_slots(&self.proxy);
-        wait_for("requests that wait", || self.proxy.waiting() > 0);
-        held
+        let clients = fill_slots(&self.proxy);
+        wait_for("queued requests", || self.proxy.waiting() > 0);
+        clients
     }
 
-    /// Lets clients announce a timeout with requests that they write at once, and waits until they have their answers.
+    /// Sends copies of a request, each written at once by another client to announce its timeout, and waits for all
+    /// responses.
     pub fn announce(&self, request: &str) {
-        let announcing = |number| {
+        let send_announcement = |number| {
             let mut client = self.proxy.client();
             client.send(&request.replace("r-slow", &format!("r-other-{number}")));
             client
         };
-        let clients: Vec<Client> = (0..ANNOUNCEMENTS).map(announcing).collect();
+        let clients: Vec<Client> = (0..ANNOUNCEMENTS).map(send_announcement).collect();
         for mut client in clients {
             client.response().expect("a response");
         }
     }
 
-    /// Releases the backend once a request waits beside those that keep it busy.
+    /// Waits until one more request is open than those that keep the backend busy, then releases the backend.
     pub fn release_once_taken_in(&self) {
-        wait_for_pending(&self.proxy, HELD_REQUESTS + 1);
-        assert!(self.seen("r-slow").is_none(), "the backend is busy");
+        wait_for_pending(&self.proxy, DELAYED_REQUESTS + 1);
+        assert!(self.seen("r-slow").is_none(), "the backend receives no request while it is busy");
         self.release.open();
     }
 
-    /// The time that the backend was told for a request.
+    /// The remaining time that the proxy announced to the backend for a request (`X-Timeout`).
     pub fn told_timeout(&self, id: &str) -> Duration {
-        let request = self.seen(id).expect("the backend has seen it");
-        let seconds = request.header("x-timeout").expect("a time-out").parse().expect("seconds");
+        let request = self.seen(id).expect("the backend has received it");
+        let seconds = request.header("x-timeout").expect("a timeout").parse().expect("seconds");
         Duration::from_secs_f64(seconds)
     }
 
-    /// Asserts that a request was sent with most of what it announced.
+    /// Asserts that a request was forwarded with almost all of [`LONG_TIMEOUT`], the timeout that it announced.
     pub fn assert_kept_its_timeout(&self, id: &str) {
-        let told = self.told_timeout(id);
-        assert!(told > LONG_TIMEOUT - MAX_ATTEMPT_DELAY, "told {told:?} of {LONG_TIMEOUT:?}");
+        let forwarded = self.told_timeout(id);
+        assert!(forwarded > LONG_TIMEOUT - MAX_ATTEMPT_DELAY, "forwarded {forwarded:?} of {LONG_TIMEOUT:?}");
     }
 
-    /// A request as the backend has seen it.
+    /// The request with this id, as the backend received it.
     pub fn seen(&self, id: &str) -> Option<Message> {
         self.backend.requests().into_iter().find(|request| request.id() == id)
     }
 }
 
-/// A configuration whose classes expect short latencies, except for `submit`, the class of the requests that are held:
-/// a request waits until almost all of its time is over, and a held one does not count as hanging.
+/// Shortens the latency objective of all classes but `submit` to [`LONG_TIMEOUT`], so that a request waits in the queue
+/// until almost all of its time is over. `submit`, the class of the delayed requests, keeps its long objective, so that
+/// the proxy does not count a delayed request as hanging.
 fn with_short_objectives(config: String) -> String {
     let objective = LONG_TIMEOUT.as_millis();
     ["idempotent\"", "\"cell\",\"window\":2500"].iter().fold(config, |config, before| {
@@ -103,48 +112,49 @@
     })
 }
 
-/// An idempotent request without a body.
+/// An idempotent request without a body, with this timeout.
 pub fn bodyless(timeout: Duration) -> String {
     page("r-slow").replace("X-Timeout: 5\r", &format!("X-Timeout: {}\r", timeout.as_secs_f64()))
 }
 
-/// A request that must not run twice, with a body.
+/// A request with a body that must not run twice, with this timeout.
 pub fn unsafe_request(timeout: Duration) -> String {
     submit("r-slow", &timeout.as_secs_f64().to_string(), &"x".repeat(1000))
 }
 
-/// A request with a body and an idempotency key.
+/// A request with a body and an idempotency key, with this timeout.
 pub fn with_key(timeout: Duration) -> String {
     unsafe_request(timeout)
         .replace("/submit", "/booking")
         .replace("Host: x\r\n", "Host: x\r\nIdempotency-Key: k\r\n")
 }
 
-/// The same as a client's retry.
+/// The same request, marked as a client's retry.
 pub fn marked_as_retry(request: &str) -> String {
     request.replace("Host: x\r\n", "Host: x\r\nX-Retried: 1\r\n")
 }
 
-/// Writes a request with a pause before its last bytes; returns when the last one was written.
+/// Writes a request with a pause before its last 20 bytes; returns the time at which the last byte was written.
 pub fn write_slowly(client: &mut Client, request: &str) -> Instant {
-    let (first, last) = request.split_at(request.len() - 20);
-    client.send(first);
+    let (start, end) = request.split_at(request.len() - 20);
+    client.send(start);
     thread::sleep(PAUSE);
-    client.send(last);
+    client.send(end);
     Instant::now()
 }
 
-/// Reads a response that has to be a rejection, and returns how long it took.
+/// Reads a response and asserts that it is a rejection; returns the time since the last byte of the request was
+/// written.
 pub fn rejected_after(client: &mut Client, written_at: Instant) -> Duration {
     let response = client.response().expect("a response");
     let waited = written_at.elapsed();
     assert!([429, 503].contains(&response.status()), "{}", response.status());
-    assert!(response.header("retry-after").is_some(), "a time after which to try again");
+    assert!(response.header("retry-after").is_some(), "a rejection has the header Retry-After");
     println!("rejected {waited:?} after its last byte");
     waited
 }
 
-/// Asserts that a request was rejected when the time of its client was almost over.
+/// Asserts that a request was rejected close to its client's timeout.
 pub fn assert_near_end(waited: Duration, timeout: Duration) {
     assert!(waited > timeout - MAX_EARLINESS, "rejected after {waited:?} of {timeout:?}");
     assert!(waited < timeout + MAX_LATENESS, "rejected after {waited:?} of {timeout:?}");
