--- a/crates/cli/tests/slow_requests.rs
+++ b/crates/cli/tests/slow_requests.rs
@@ -9,7 +9,7 @@
 
 #[test]
 fn slow_head_is_rejected_within_the_timeout_that_others_announce() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     let _busy_clients = site.keep_busy();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
@@ -21,7 +21,7 @@
 
 #[test]
 fn slow_head_after_another_request_is_rejected_within_the_timeout_that_others_announce() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     let _busy_clients = site.keep_busy();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
@@ -34,7 +34,7 @@
 
 #[test]
 fn slow_head_is_sent_to_free_backend_with_the_timeout_that_others_announce() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
@@ -46,7 +46,7 @@
 
 #[test]
 fn slow_head_is_served_by_backend_that_becomes_free_within_its_timeout() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     let _busy_clients = site.keep_busy();
     site.announce(&bodyless(LONG_TIMEOUT));
     let mut client = site.proxy.client();
@@ -57,7 +57,7 @@
 
 #[test]
 fn slow_head_waits_for_its_timeout_from_its_last_byte_if_others_announce_the_same() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     let _busy_clients = site.keep_busy();
     site.announce(&bodyless(LONG_TIMEOUT));
     let mut client = site.proxy.client();
--- a/crates/cli/tests/slow_requests_unlike_others.rs
+++ b/crates/cli/tests/slow_requests_unlike_others.rs
@@ -14,7 +14,7 @@
 
 #[test]
 fn head_written_at_once_waits_for_its_timeout_whatever_others_announce() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     let _busy_clients = site.keep_busy();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
@@ -24,7 +24,7 @@
 
 #[test]
 fn slow_head_waits_for_its_timeout_if_only_retries_announce_less() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     let _busy_clients = site.keep_busy();
     site.announce(&marked_as_retry(&bodyless(SHORT_TIMEOUT)));
     let mut client = site.proxy.client();
@@ -34,7 +34,7 @@
 
 #[test]
 fn slow_body_with_key_waits_for_its_timeout_whatever_others_announce() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     let _busy_clients = site.keep_busy();
     site.announce(&with_key(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
@@ -44,7 +44,7 @@
 
 #[test]
 fn attempt_of_slow_request_that_must_not_run_twice_is_not_cancelled_whatever_others_announce() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     site.announce(&unsafe_request(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     write_slowly(&mut client, &unsafe_request(LONG_TIMEOUT).replace("r-slow", "r-held"));
@@ -56,7 +56,7 @@
 
 #[test]
 fn wait_of_others_before_they_were_read_is_not_subtracted_from_their_announced_timeouts() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     let mut pipelining_client = site.proxy.client();
     let pipelined_request = |number| bodyless(LONG_TIMEOUT).replace("r-slow", &format!("r-behind-{number}"));
     pipelining_client.send(
@@ -76,7 +76,7 @@
 
 #[test]
 fn announced_timeouts_of_zero_do_not_shorten_the_timeout_of_a_slow_head() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     site.announce(&bodyless(Duration::ZERO));
     let mut client = site.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
@@ -86,7 +86,7 @@
 
 #[test]
 fn request_written_at_once_keeps_its_timeout_if_the_process_is_stopped() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     let request = bodyless(LONG_TIMEOUT);
@@ -106,7 +106,7 @@
 
 #[test]
 fn blank_line_long_before_a_request_does_not_make_it_slow() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     assert_eq!(status(client.request(&bodyless(SHORT_TIMEOUT).replace("r-slow", "r-first"))), 200);
@@ -119,7 +119,7 @@
 
 #[test]
 fn request_written_at_once_on_a_connection_open_for_long_keeps_its_timeout() {
-    let site = Site::new();
+    let site = SlowWriterFixture::new();
     site.announce(&bodyless(SHORT_TIMEOUT));
     let mut client = site.proxy.client();
     assert_eq!(status(client.request(&bodyless(SHORT_TIMEOUT).replace("r-slow", "r-first"))), 200);
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -33,14 +33,14 @@
 
 /// A proxy with a single backend, which delays requests whose id starts with `r-held` until it is released, and
 /// responds to all others at once.
-pub struct Site {
+pub struct SlowWriterFixture {
     pub release: Latch,
     backend: Backend,
     pub proxy: Proxy,
     _discovery: Discovery,
 }
 
-impl Site {
+impl SlowWriterFixture {
     /// Starts the backend, its discovery and the proxy; waits until the proxy is ready.
     pub fn new() -> Self {
         let release = Latch::default();
@@ -51,7 +51,7 @@
         let proxy =
             Proxy::start_with_config(&with_short_objectives(config(discovery.address, &setup)), &setup);
         wait_for("/up", || proxy.is_up());
-        Site { release, backend, proxy, _discovery: discovery }
+        SlowWriterFixture { release, backend, proxy, _discovery: discovery }
     }
 
     /// Fills all slots of the backend with delayed requests, until some wait in the queue. Returns their clients, which
