--- a/crates/cli/tests/slow_requests.rs
+++ b/crates/cli/tests/slow_requests.rs
@@ -9,22 +9,22 @@
 
 #[test]
 fn slow_head_is_rejected_within_the_timeout_that_others_announce() {
-    let site = SlowWriterFixture::new();
-    let _busy_clients = site.keep_busy();
-    site.announce(&bodyless(SHORT_TIMEOUT));
-    let mut client = site.proxy.client();
+    let fixture = SlowWriterFixture::new();
+    let _busy_clients = fixture.keep_busy();
+    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    let mut client = fixture.proxy.client();
     let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
     let waited = rejected_after(&mut client, written_at);
     assert!(waited < SHORT_TIMEOUT, "its client may give up after {SHORT_TIMEOUT:?}, waited {waited:?}");
-    assert!(site.seen("r-slow").is_none());
+    assert!(fixture.seen("r-slow").is_none());
 }
 
 #[test]
 fn slow_head_after_another_request_is_rejected_within_the_timeout_that_others_announce() {
-    let site = SlowWriterFixture::new();
-    let _busy_clients = site.keep_busy();
-    site.announce(&bodyless(SHORT_TIMEOUT));
-    let mut client = site.proxy.client();
+    let fixture = SlowWriterFixture::new();
+    let _busy_clients = fixture.keep_busy();
+    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    let mut client = fixture.proxy.client();
     client.send(&bodyless(SHORT_TIMEOUT).replace("r-slow", "r-first"));
     rejected_after(&mut client, Instant::now());
     let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
@@ -34,33 +34,33 @@
 
 #[test]
 fn slow_head_is_sent_to_free_backend_with_the_timeout_that_others_announce() {
-    let site = SlowWriterFixture::new();
-    site.announce(&bodyless(SHORT_TIMEOUT));
-    let mut client = site.proxy.client();
+    let fixture = SlowWriterFixture::new();
+    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    let mut client = fixture.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
-    let sent_timeout = site.told_timeout("r-slow");
+    let sent_timeout = fixture.told_timeout("r-slow");
     assert!(sent_timeout <= SHORT_TIMEOUT, "sent with a timeout of {sent_timeout:?}");
     assert!(sent_timeout > SHORT_TIMEOUT - MAX_ATTEMPT_DELAY, "sent with a timeout of {sent_timeout:?}");
 }
 
 #[test]
 fn slow_head_is_served_by_backend_that_becomes_free_within_its_timeout() {
-    let site = SlowWriterFixture::new();
-    let _busy_clients = site.keep_busy();
-    site.announce(&bodyless(LONG_TIMEOUT));
-    let mut client = site.proxy.client();
+    let fixture = SlowWriterFixture::new();
+    let _busy_clients = fixture.keep_busy();
+    fixture.announce(&bodyless(LONG_TIMEOUT));
+    let mut client = fixture.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
-    site.release_once_taken_in();
+    fixture.release_once_taken_in();
     assert_eq!(status(client.response()), 200);
 }
 
 #[test]
 fn slow_head_waits_for_its_timeout_from_its_last_byte_if_others_announce_the_same() {
-    let site = SlowWriterFixture::new();
-    let _busy_clients = site.keep_busy();
-    site.announce(&bodyless(LONG_TIMEOUT));
-    let mut client = site.proxy.client();
+    let fixture = SlowWriterFixture::new();
+    let _busy_clients = fixture.keep_busy();
+    fixture.announce(&bodyless(LONG_TIMEOUT));
+    let mut client = fixture.proxy.client();
     let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
     assert_near_end(rejected_after(&mut client, written_at), LONG_TIMEOUT);
 }
