--- a/crates/cli/tests/conflicting_lengths.rs
+++ b/crates/cli/tests/conflicting_lengths.rs
@@ -27,7 +27,7 @@
 fn delaying_backend_with_latch() -> (Backend, Arc<Mutex<Latch>>) {
     let latch = Arc::<Mutex<Latch>>::default();
     let backend_latch = latch.clone();
-    let backend = Backend::with(move |request| {
+    let backend = Backend::with_handler(move |request| {
         let latch = backend_latch.lock().unwrap().clone();
         match request.id() {
             "r-held" if request.first_line.starts_with("GET") => {
@@ -99,7 +99,7 @@
 
 #[test]
 fn chunked_request_behind_no_pending_request_is_accepted() {
-    let backend = Backend::with(|request| {
+    let backend = Backend::with_handler(|request| {
         let length = if request.id() == "r-long" { STREAMED_BODY_BYTES } else { 0 };
         Reply::Write(ok(&"x".repeat(length)))
     });
--- a/crates/cli/tests/forwarding.rs
+++ b/crates/cli/tests/forwarding.rs
@@ -57,7 +57,7 @@
 
 #[test]
 fn bytes_behind_a_response_are_discarded() {
-    let backend = Backend::with(|request| {
+    let backend = Backend::with_handler(|request| {
         let response = ok(request.id());
         let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n";
         Reply::Write(match request.id().len() % 3 {
--- a/crates/cli/tests/large_fleets.rs
+++ b/crates/cli/tests/large_fleets.rs
@@ -69,7 +69,7 @@
         0 => Reply::Write(empty("500 Broken")),
         _ => Reply::Write(ok("")),
     };
-    let failing = Backend::with(first_fails);
+    let failing = Backend::with_handler(first_fails);
     let healthy = Backend::new(Reply::Write(ok("")));
     discovery.publish(&full_list([failing.address, healthy.address]));
     let setup = Setup { has_admin: true, ..Setup::default() };
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -9,7 +9,7 @@
 fn statistics_count_each_request_once() {
     let latch = Latch::default();
     let latch_copy = latch.clone();
-    let backend = Backend::with(move |request| match request.id() {
+    let backend = Backend::with_handler(move |request| match request.id() {
         "r-held" => Reply::Delayed(latch_copy.clone(), ok("")),
         "r-bad" => Reply::Write(empty("500 Oops")),
         _ => Reply::Write(ok("")),
--- a/crates/cli/tests/serve.rs
+++ b/crates/cli/tests/serve.rs
@@ -55,8 +55,8 @@
         }
         _ => Reply::Write("HTTP/1.1 500 Oops\r\nContent-Length: 4\r\n\r\noops".into()),
     };
-    let one = Backend::with(reply);
-    let two = Backend::with(reply);
+    let one = Backend::with_handler(reply);
+    let two = Backend::with_handler(reply);
     let proxy = serve(&two_backends(&one, &two));
     let get = |path: &str| request(&proxy, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
     assert_eq!((get("/gone").status(), get("/gone").text().as_str()), (404, "no"));
--- a/crates/cli/tests/sockets/backend.rs
+++ b/crates/cli/tests/sockets/backend.rs
@@ -64,11 +64,11 @@
 impl Backend {
     /// Starts a backend that replies to all requests in the same way.
     pub fn new(reply: Reply) -> Self {
-        Backend::with(move |_| reply.clone())
+        Backend::with_handler(move |_| reply.clone())
     }
 
     /// Starts a backend that chooses its reply by the request.
-    pub fn with(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
+    pub fn with_handler(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
         let record = Arc::<Record>::default();
--- a/crates/cli/tests/sockets/cancellation.rs
+++ b/crates/cli/tests/sockets/cancellation.rs
@@ -95,7 +95,7 @@
 /// A backend that delays requests whose id has this prefix until the latch opens, and replies at once to all others.
 pub fn delaying_backend(latch: &Latch, prefix: &'static str) -> Backend {
     let latch = latch.clone();
-    Backend::with(move |request| match request.id().starts_with(prefix) {
+    Backend::with_handler(move |request| match request.id().starts_with(prefix) {
         true => Reply::Delayed(latch.clone(), ok("held")),
         false => Reply::Write(ok("prompt")),
     })
