--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -50,7 +50,7 @@
             "'deadline' is missing".into(),
         ),
     ] {
-        let run = leadrelay(&["serve", "--config", file.path()]);
+        let run = run_leadrelay(&["serve", "--config", file.path()]);
         let message = text(&run.stderr);
         assert_eq!(run.status.code(), Some(code), "{message}");
         let messages = message.lines().filter(|line| line.starts_with("leadrelay: ")).count();
@@ -63,10 +63,10 @@
         &["ctl", "health"],
         &["ctl", "--admin", "x", "stats"],
     ] {
-        let run = leadrelay(args);
+        let run = run_leadrelay(args);
         assert_eq!(run.status.code(), Some(2), "{args:?}: {}", text(&run.stderr));
     }
-    let missing = leadrelay(&["check", "/nonexistent.toml"]);
+    let missing = run_leadrelay(&["check", "/nonexistent.toml"]);
     assert_eq!(
         (missing.status.code(), text(&missing.stderr).contains("/nonexistent.toml: ")),
         (Some(2), true)
@@ -77,17 +77,17 @@
 #[test]
 fn check_reports_all_errors_as_text_and_json() {
     let file = TemporaryFile::new("listen = 1\n[limits]\nattempts = 0\n");
-    let run = leadrelay(&["check", file.path()]);
+    let run = run_leadrelay(&["check", file.path()]);
     let path = file.path();
     let expected = format!(
         "{path}:1:10: 'listen' has to be text, not a number\n{path}:3:12: 'attempts' is 0, and has to be 1 or more\n"
     );
     assert_eq!((run.status.code(), text(&run.stderr)), (Some(2), expected));
-    let run = leadrelay(&["check", "--json", path]);
+    let run = run_leadrelay(&["check", "--json", path]);
     let errors: serde_json::Value = serde_json::from_slice(&run.stdout).expect("JSON");
     assert_eq!((run.status.code(), errors[1]["line"].as_u64()), (Some(2), Some(3)));
-    let example = TemporaryFile::new(&text(&leadrelay(&["config", "example"]).stdout));
-    let run = leadrelay(&["check", example.path()]);
+    let example = TemporaryFile::new(&text(&run_leadrelay(&["config", "example"]).stdout));
+    let run = run_leadrelay(&["check", example.path()]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
 }
 
@@ -97,7 +97,7 @@
     let (_, rest) = readme.split_once("```toml\n").expect("an example");
     let (toml, _) = rest.split_once("```").expect("the end of the example");
     let file = TemporaryFile::new(toml);
-    let run = leadrelay(&["check", file.path()]);
+    let run = run_leadrelay(&["check", file.path()]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
 }
 
@@ -145,21 +145,21 @@
 
 #[test]
 fn man_page_completions_version_and_schema_are_printed() {
-    let man = text(&leadrelay(&["man"]).stdout);
+    let man = text(&run_leadrelay(&["man"]).stdout);
     assert!(man.contains(".TH leadrelay") && man.contains("Exit codes"), "{man}");
     for shell in ["bash", "zsh", "fish"] {
-        assert!(text(&leadrelay(&["completions", shell]).stdout).contains("leadrelay"), "{shell}");
+        assert!(text(&run_leadrelay(&["completions", shell]).stdout).contains("leadrelay"), "{shell}");
     }
-    let version = leadrelay(&["version"]);
+    let version = run_leadrelay(&["version"]);
     assert_eq!(text(&version.stdout), format!("leadrelay {}\n", env!("CARGO_PKG_VERSION")));
-    let schema = leadrelay(&["config", "schema"]);
+    let schema = run_leadrelay(&["config", "schema"]);
     let schema: serde_json::Value = serde_json::from_slice(&schema.stdout).expect("JSON");
     assert!(schema["properties"]["listen"].is_object());
 }
 
 #[test]
 fn demo_accounts_for_every_request() {
-    let run = leadrelay(&["demo", "--seconds", "2", "--json"]);
+    let run = run_leadrelay(&["demo", "--seconds", "2", "--json"]);
     assert_eq!(run.status.code(), Some(0), "{}", text(&run.stderr));
     let summary: serde_json::Value =
         serde_json::from_slice(&run.stdout).expect("one JSON object and nothing else");
--- a/crates/cli/tests/serve.rs
+++ b/crates/cli/tests/serve.rs
@@ -27,7 +27,7 @@
 /// Runs `leadrelay ctl` with the admin address of a proxy.
 fn ctl(proxy: &Proxy, args: &[&str]) -> Output {
     let admin = proxy.admin_address().to_string();
-    leadrelay(&[&["ctl", "--admin", &admin], args].concat())
+    run_leadrelay(&[&["ctl", "--admin", &admin], args].concat())
 }
 
 #[test]
@@ -146,11 +146,11 @@
 fn ctl_without_response_fails_in_time() {
     let silent = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = silent.local_addr().expect("an address").to_string();
-    let output = leadrelay(&["ctl", "--admin", &address, "health"]);
+    let output = run_leadrelay(&["ctl", "--admin", &address, "health"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(text(&output.stderr).contains("no answer within"), "{}", text(&output.stderr));
     drop(silent);
-    let output = leadrelay(&["ctl", "--admin", &address, "health"]);
+    let output = run_leadrelay(&["ctl", "--admin", &address, "health"]);
     assert_eq!(output.status.code(), Some(1));
     assert!(text(&output.stderr).contains("cannot connect"), "{}", text(&output.stderr));
 }
--- a/crates/cli/tests/sockets/program.rs
+++ b/crates/cli/tests/sockets/program.rs
@@ -6,7 +6,7 @@
 
 /// Runs `leadrelay` with these arguments until it exits. Its environment variables for the configuration and the admin
 /// address are removed.
-pub fn leadrelay(args: &[&str]) -> Output {
+pub fn run_leadrelay(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_leadrelay"));
     command.env_remove("NODE_CONFIG").env_remove("NODE_ADMIN_ADDR").args(args).output().expect("it starts")
 }
