--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -104,7 +104,7 @@
 #[test]
 fn unread_log_does_not_block_the_proxy() {
     let backend = Backend::new(Reply::Write(ok("")));
-    let file = TemporaryFile::new(&two_backends(&backend, &Backend::new(Reply::Write(ok("")))));
+    let file = TemporaryFile::new(&config_with_two_backends(&backend, &Backend::new(Reply::Write(ok("")))));
     let mut child = Command::new(env!("CARGO_BIN_EXE_leadrelay"))
         .args(["serve", "--config", file.path(), "--log", "trace"])
         .stderr(Stdio::piped())
--- a/crates/cli/tests/serve.rs
+++ b/crates/cli/tests/serve.rs
@@ -34,7 +34,7 @@
 fn minimal_configuration_serves_any_client() {
     let one = Backend::new(Reply::Write(ok("hello")));
     let two = Backend::new(Reply::Write(ok("hello")));
-    let proxy = serve(&two_backends(&one, &two));
+    let proxy = serve(&config_with_two_backends(&one, &two));
     let response = request(&proxy, "GET /any/path?x=1 HTTP/1.1\r\nHost: example\r\n\r\n");
     assert_eq!((response.status(), response.text().as_str()), (200, "hello"));
     assert_eq!(request(&proxy, "GET /up HTTP/1.1\r\nHost: example\r\n\r\n").status(), 200);
@@ -57,7 +57,7 @@
     };
     let one = Backend::with_handler(reply);
     let two = Backend::with_handler(reply);
-    let proxy = serve(&two_backends(&one, &two));
+    let proxy = serve(&config_with_two_backends(&one, &two));
     let get = |path: &str| request(&proxy, &format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n"));
     assert_eq!((get("/gone").status(), get("/gone").text().as_str()), (404, "no"));
     assert_eq!(get("/moved").header("location"), Some("/else"));
@@ -76,7 +76,7 @@
     let head = Reply::Write("HTTP/1.1 200 OK\r\nContent-Length: 1234\r\n\r\n".into());
     let one = Backend::new(head.clone());
     let two = Backend::new(head);
-    let proxy = serve(&two_backends(&one, &two));
+    let proxy = serve(&config_with_two_backends(&one, &two));
     let mut stream = TcpStream::connect(proxy.address).expect("the proxy accepts");
     stream.set_read_timeout(Some(LIMIT)).expect("a valid timeout");
     stream.write_all(b"HEAD /x HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("the proxy reads");
@@ -93,7 +93,7 @@
 fn ctl_calls_reach_the_proxy() {
     let one = Backend::new(Reply::Write(ok("")));
     let two = Backend::new(Reply::Write(ok("")));
-    let proxy = serve(&two_backends(&one, &two));
+    let proxy = serve(&config_with_two_backends(&one, &two));
     wait_for("readiness", || ctl(&proxy, &["health"]).status.success());
     request(&proxy, "GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     let stats = ctl(&proxy, &["stats", "--json"]);
@@ -126,7 +126,7 @@
 fn reload_changes_backends_completely_or_not_at_all() {
     let one = Backend::new(Reply::Write(ok("")));
     let two = Backend::new(Reply::Write(ok("")));
-    let toml = two_backends(&one, &two);
+    let toml = config_with_two_backends(&one, &two);
     let proxy = serve(&toml);
     wait_for("readiness", || ctl(&proxy, &["health"]).status.success());
     let count = |key: &str| {
--- a/crates/cli/tests/sockets/mod.rs
+++ b/crates/cli/tests/sockets/mod.rs
@@ -24,7 +24,7 @@
 pub use discovery::{Discovery, all_up, host, list};
 pub use listener::{RefusingAddress, accept_connecting, fill_accept_queue, full_listener, wait_for_close};
 pub use message::{Message, read_message};
-pub use program::{run_leadrelay, text, two_backends};
+pub use program::{config_with_two_backends, run_leadrelay, text};
 pub use proxy::Proxy;
 pub use scripted_discovery::{ScriptedDiscovery, ScriptedResponse};
 pub use setup::{Platform, Setup, config, config_file, setup_with_admin, setup_with_platform};
--- a/crates/cli/tests/sockets/program.rs
+++ b/crates/cli/tests/sockets/program.rs
@@ -17,7 +17,7 @@
 }
 
 /// A TOML configuration with two backends, an admin address and a readiness path.
-pub fn two_backends(first: &Backend, second: &Backend) -> String {
+pub fn config_with_two_backends(first: &Backend, second: &Backend) -> String {
     let entry = |backend: &Backend| format!("[[backends]]\naddress = \"{}\"\n", backend.address);
     let admin = "[admin]\nlisten = \"127.0.0.1:0\"\n[logging]\naccess = 1\n";
     format!("listen = \"127.0.0.1:0\"\nup_path = \"/up\"\n{}{}{admin}", entry(first), entry(second))
