--- a/crates/cli/tests/slow_requests.rs
+++ b/crates/cli/tests/slow_requests.rs
@@ -16,7 +16,7 @@
     let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
     let waited = rejected_after(&mut client, written_at);
     assert!(waited < SHORT_TIMEOUT, "its client may give up after {SHORT_TIMEOUT:?}, waited {waited:?}");
-    assert!(fixture.seen("r-slow").is_none());
+    assert!(fixture.received_request("r-slow").is_none());
 }
 
 #[test]
--- a/crates/cli/tests/slow_requests_unlike_others.rs
+++ b/crates/cli/tests/slow_requests_unlike_others.rs
@@ -48,7 +48,7 @@
     fixture.announce(&unsafe_request(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
     write_slowly(&mut client, &unsafe_request(LONG_TIMEOUT).replace("r-slow", "r-held"));
-    wait_for("the attempt", || fixture.seen("r-held").is_some());
+    wait_for("the attempt", || fixture.received_request("r-held").is_some());
     thread::sleep(SHORT_TIMEOUT + PAUSE);
     fixture.release.open();
     assert_eq!(status(client.response()), 200, "it may have run, and its client waits for {LONG_TIMEOUT:?}");
@@ -62,7 +62,7 @@
     pipelining_client.send(
         &(submit("r-held", "60", "x") + &(0..ANNOUNCEMENTS).map(pipelined_request).collect::<String>()),
     );
-    wait_for("the first request", || fixture.seen("r-held").is_some());
+    wait_for("the first request", || fixture.received_request("r-held").is_some());
     thread::sleep(LONG_TIMEOUT - PAUSE);
     fixture.release.open();
     for _ in 0..=ANNOUNCEMENTS {
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -79,13 +79,16 @@
     /// Waits until one more request is open than those that keep the backend busy, then releases the backend.
     pub fn release_once_taken_in(&self) {
         wait_for_pending(&self.proxy, DELAYED_REQUESTS + 1);
-        assert!(self.seen("r-slow").is_none(), "the backend receives no request while it is busy");
+        assert!(
+            self.received_request("r-slow").is_none(),
+            "the backend receives no request while it is busy"
+        );
         self.release.open();
     }
 
     /// The remaining time that the proxy announced to the backend for a request (`X-Timeout`).
     pub fn told_timeout(&self, id: &str) -> Duration {
-        let request = self.seen(id).expect("the backend has received it");
+        let request = self.received_request(id).expect("the backend has received it");
         let seconds = request.header("x-timeout").expect("a timeout").parse().expect("seconds");
         Duration::from_secs_f64(seconds)
     }
@@ -97,7 +100,7 @@
     }
 
     /// The request with this id, as the backend received it.
-    pub fn seen(&self, id: &str) -> Option<Message> {
+    pub fn received_request(&self, id: &str) -> Option<Message> {
         self.backend.requests().into_iter().find(|request| request.id() == id)
     }
 }
