--- a/crates/cli/tests/slow_requests.rs
+++ b/crates/cli/tests/slow_requests.rs
@@ -39,7 +39,7 @@
     let mut client = fixture.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
-    let sent_timeout = fixture.told_timeout("r-slow");
+    let sent_timeout = fixture.forwarded_timeout("r-slow");
     assert!(sent_timeout <= SHORT_TIMEOUT, "sent with a timeout of {sent_timeout:?}");
     assert!(sent_timeout > SHORT_TIMEOUT - MAX_ATTEMPT_DELAY, "sent with a timeout of {sent_timeout:?}");
 }
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -87,7 +87,7 @@
     }
 
     /// The remaining time that the proxy announced to the backend for a request (`X-Timeout`).
-    pub fn told_timeout(&self, id: &str) -> Duration {
+    pub fn forwarded_timeout(&self, id: &str) -> Duration {
         let request = self.received_request(id).expect("the backend has received it");
         let seconds = request.header("x-timeout").expect("a timeout").parse().expect("seconds");
         Duration::from_secs_f64(seconds)
@@ -95,7 +95,7 @@
 
     /// Asserts that a request was forwarded with almost all of [`LONG_TIMEOUT`], the timeout that it announced.
     pub fn assert_kept_its_timeout(&self, id: &str) {
-        let forwarded = self.told_timeout(id);
+        let forwarded = self.forwarded_timeout(id);
         assert!(forwarded > LONG_TIMEOUT - MAX_ATTEMPT_DELAY, "forwarded {forwarded:?} of {LONG_TIMEOUT:?}");
     }
 
