--- a/crates/cli/tests/slow_requests.rs
+++ b/crates/cli/tests/slow_requests.rs
@@ -51,7 +51,7 @@
     fixture.announce(&bodyless(LONG_TIMEOUT));
     let mut client = fixture.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
-    fixture.release_once_taken_in();
+    fixture.release_once_queued();
     assert_eq!(status(client.response()), 200);
 }
 
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -77,7 +77,7 @@
     }
 
     /// Waits until one more request is open than those that keep the backend busy, then releases the backend.
-    pub fn release_once_taken_in(&self) {
+    pub fn release_once_queued(&self) {
         wait_for_pending(&self.proxy, DELAYED_REQUESTS + 1);
         assert!(
             self.received_request("r-slow").is_none(),
