--- a/crates/cli/tests/slow_requests_unlike_others.rs
+++ b/crates/cli/tests/slow_requests_unlike_others.rs
@@ -71,7 +71,7 @@
     let mut client = fixture.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
-    fixture.assert_kept_its_timeout("r-slow");
+    fixture.assert_timeout_forwarded("r-slow");
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let mut client = fixture.proxy.client();
     write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
-    fixture.assert_kept_its_timeout("r-slow");
+    fixture.assert_timeout_forwarded("r-slow");
 }
 
 #[test]
@@ -101,7 +101,7 @@
     fixture.proxy.resume();
     assert!(write_time < PROCESS_PAUSE / 2, "the client itself was delayed: {write_time:?}");
     assert_eq!(status(client.response()), 200);
-    fixture.assert_kept_its_timeout("r-slow");
+    fixture.assert_timeout_forwarded("r-slow");
 }
 
 #[test]
@@ -114,7 +114,7 @@
     thread::sleep(PAUSE);
     client.send(&bodyless(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
-    fixture.assert_kept_its_timeout("r-slow");
+    fixture.assert_timeout_forwarded("r-slow");
 }
 
 #[test]
@@ -125,5 +125,5 @@
     assert_eq!(status(client.request(&bodyless(SHORT_TIMEOUT).replace("r-slow", "r-first"))), 200);
     thread::sleep(PAUSE);
     assert_eq!(status(client.request(&bodyless(LONG_TIMEOUT))), 200);
-    fixture.assert_kept_its_timeout("r-slow");
+    fixture.assert_timeout_forwarded("r-slow");
 }
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -94,7 +94,7 @@
     }
 
     /// Asserts that a request was forwarded with almost all of [`LONG_TIMEOUT`], the timeout that it announced.
-    pub fn assert_kept_its_timeout(&self, id: &str) {
+    pub fn assert_timeout_forwarded(&self, id: &str) {
         let forwarded = self.forwarded_timeout(id);
         assert!(forwarded > LONG_TIMEOUT - MAX_ATTEMPT_DELAY, "forwarded {forwarded:?} of {LONG_TIMEOUT:?}");
     }
