--- a/crates/cli/tests/slow_requests.rs
+++ b/crates/cli/tests/slow_requests.rs
@@ -11,9 +11,9 @@
 fn slow_head_is_rejected_within_the_timeout_that_others_announce() {
     let fixture = SlowWriterFixture::new();
     let _busy_clients = fixture.keep_busy();
-    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
+    let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
     let waited = rejected_after(&mut client, written_at);
     assert!(waited < SHORT_TIMEOUT, "its client may give up after {SHORT_TIMEOUT:?}, waited {waited:?}");
     assert!(fixture.received_request("r-slow").is_none());
@@ -23,11 +23,11 @@
 fn slow_head_after_another_request_is_rejected_within_the_timeout_that_others_announce() {
     let fixture = SlowWriterFixture::new();
     let _busy_clients = fixture.keep_busy();
-    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    client.send(&bodyless(SHORT_TIMEOUT).replace("r-slow", "r-first"));
+    client.send(&request_without_body(SHORT_TIMEOUT).replace("r-slow", "r-first"));
     rejected_after(&mut client, Instant::now());
-    let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
+    let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
     let waited = rejected_after(&mut client, written_at);
     assert!(waited < SHORT_TIMEOUT, "its client may give up after {SHORT_TIMEOUT:?}, waited {waited:?}");
 }
@@ -35,9 +35,9 @@
 #[test]
 fn slow_head_is_sent_to_free_backend_with_the_timeout_that_others_announce() {
     let fixture = SlowWriterFixture::new();
-    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
+    write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
     let sent_timeout = fixture.forwarded_timeout("r-slow");
     assert!(sent_timeout <= SHORT_TIMEOUT, "sent with a timeout of {sent_timeout:?}");
@@ -48,9 +48,9 @@
 fn slow_head_is_served_by_backend_that_becomes_free_within_its_timeout() {
     let fixture = SlowWriterFixture::new();
     let _busy_clients = fixture.keep_busy();
-    fixture.announce(&bodyless(LONG_TIMEOUT));
+    fixture.announce(&request_without_body(LONG_TIMEOUT));
     let mut client = fixture.proxy.client();
-    write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
+    write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
     fixture.release_once_queued();
     assert_eq!(status(client.response()), 200);
 }
@@ -59,8 +59,8 @@
 fn slow_head_waits_for_its_timeout_from_its_last_byte_if_others_announce_the_same() {
     let fixture = SlowWriterFixture::new();
     let _busy_clients = fixture.keep_busy();
-    fixture.announce(&bodyless(LONG_TIMEOUT));
+    fixture.announce(&request_without_body(LONG_TIMEOUT));
     let mut client = fixture.proxy.client();
-    let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
+    let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
     assert_near_end(rejected_after(&mut client, written_at), LONG_TIMEOUT);
 }
--- a/crates/cli/tests/slow_requests_unlike_others.rs
+++ b/crates/cli/tests/slow_requests_unlike_others.rs
@@ -16,9 +16,9 @@
 fn head_written_at_once_waits_for_its_timeout_whatever_others_announce() {
     let fixture = SlowWriterFixture::new();
     let _busy_clients = fixture.keep_busy();
-    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    client.send(&bodyless(LONG_TIMEOUT));
+    client.send(&request_without_body(LONG_TIMEOUT));
     assert_near_end(rejected_after(&mut client, Instant::now()), LONG_TIMEOUT);
 }
 
@@ -26,9 +26,9 @@
 fn slow_head_waits_for_its_timeout_if_only_retries_announce_less() {
     let fixture = SlowWriterFixture::new();
     let _busy_clients = fixture.keep_busy();
-    fixture.announce(&marked_as_retry(&bodyless(SHORT_TIMEOUT)));
+    fixture.announce(&marked_as_retry(&request_without_body(SHORT_TIMEOUT)));
     let mut client = fixture.proxy.client();
-    let written_at = write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
+    let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
     assert_near_end(rejected_after(&mut client, written_at), LONG_TIMEOUT);
 }
 
@@ -58,7 +58,8 @@
 fn wait_of_others_before_they_were_read_is_not_subtracted_from_their_announced_timeouts() {
     let fixture = SlowWriterFixture::new();
     let mut pipelining_client = fixture.proxy.client();
-    let pipelined_request = |number| bodyless(LONG_TIMEOUT).replace("r-slow", &format!("r-behind-{number}"));
+    let pipelined_request =
+        |number| request_without_body(LONG_TIMEOUT).replace("r-slow", &format!("r-behind-{number}"));
     pipelining_client.send(
         &(submit("r-held", "60", "x") + &(0..ANNOUNCEMENTS).map(pipelined_request).collect::<String>()),
     );
@@ -69,7 +70,7 @@
         assert_eq!(status(pipelining_client.response()), 200);
     }
     let mut client = fixture.proxy.client();
-    write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
+    write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
     fixture.assert_timeout_forwarded("r-slow");
 }
@@ -77,9 +78,9 @@
 #[test]
 fn announced_timeouts_of_zero_do_not_shorten_the_timeout_of_a_slow_head() {
     let fixture = SlowWriterFixture::new();
-    fixture.announce(&bodyless(Duration::ZERO));
+    fixture.announce(&request_without_body(Duration::ZERO));
     let mut client = fixture.proxy.client();
-    write_slowly(&mut client, &bodyless(LONG_TIMEOUT));
+    write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
     fixture.assert_timeout_forwarded("r-slow");
 }
@@ -87,9 +88,9 @@
 #[test]
 fn request_written_at_once_keeps_its_timeout_if_the_process_is_stopped() {
     let fixture = SlowWriterFixture::new();
-    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    let request = bodyless(LONG_TIMEOUT);
+    let request = request_without_body(LONG_TIMEOUT);
     let (first_part, last_part) = request.split_at(request.len() - 20);
     let started_at = Instant::now();
     client.send(first_part);
@@ -107,12 +108,15 @@
 #[test]
 fn blank_line_long_before_a_request_does_not_make_it_slow() {
     let fixture = SlowWriterFixture::new();
-    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    assert_eq!(status(client.request(&bodyless(SHORT_TIMEOUT).replace("r-slow", "r-first"))), 200);
+    assert_eq!(
+        status(client.request(&request_without_body(SHORT_TIMEOUT).replace("r-slow", "r-first"))),
+        200
+    );
     client.send("\r\n"); // an empty line before a request is ignored (RFC 9112, section 2.2)
     thread::sleep(PAUSE);
-    client.send(&bodyless(LONG_TIMEOUT));
+    client.send(&request_without_body(LONG_TIMEOUT));
     assert_eq!(status(client.response()), 200);
     fixture.assert_timeout_forwarded("r-slow");
 }
@@ -120,10 +124,13 @@
 #[test]
 fn request_written_at_once_on_a_connection_open_for_long_keeps_its_timeout() {
     let fixture = SlowWriterFixture::new();
-    fixture.announce(&bodyless(SHORT_TIMEOUT));
+    fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    assert_eq!(status(client.request(&bodyless(SHORT_TIMEOUT).replace("r-slow", "r-first"))), 200);
+    assert_eq!(
+        status(client.request(&request_without_body(SHORT_TIMEOUT).replace("r-slow", "r-first"))),
+        200
+    );
     thread::sleep(PAUSE);
-    assert_eq!(status(client.request(&bodyless(LONG_TIMEOUT))), 200);
+    assert_eq!(status(client.request(&request_without_body(LONG_TIMEOUT))), 200);
     fixture.assert_timeout_forwarded("r-slow");
 }
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -116,7 +116,7 @@
 }
 
 /// An idempotent request without a body, with this timeout.
-pub fn bodyless(timeout: Duration) -> String {
+pub fn request_without_body(timeout: Duration) -> String {
     page("r-slow").replace("X-Timeout: 5\r", &format!("X-Timeout: {}\r", timeout.as_secs_f64()))
 }
 
