--- a/crates/cli/tests/slow_requests_unlike_others.rs
+++ b/crates/cli/tests/slow_requests_unlike_others.rs
@@ -36,9 +36,9 @@
 fn slow_body_with_key_waits_for_its_timeout_whatever_others_announce() {
     let fixture = SlowWriterFixture::new();
     let _busy_clients = fixture.keep_busy();
-    fixture.announce(&with_key(SHORT_TIMEOUT));
+    fixture.announce(&request_with_key(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    let written_at = write_slowly(&mut client, &with_key(LONG_TIMEOUT));
+    let written_at = write_slowly(&mut client, &request_with_key(LONG_TIMEOUT));
     assert_near_end(rejected_after(&mut client, written_at), LONG_TIMEOUT);
 }
 
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -126,7 +126,7 @@
 }
 
 /// A request with a body and an idempotency key, with this timeout.
-pub fn with_key(timeout: Duration) -> String {
+pub fn request_with_key(timeout: Duration) -> String {
     unsafe_request(timeout)
         .replace("/submit", "/booking")
         .replace("Host: x\r\n", "Host: x\r\nIdempotency-Key: k\r\n")
