--- a/crates/cli/tests/slow_requests_unlike_others.rs
+++ b/crates/cli/tests/slow_requests_unlike_others.rs
@@ -45,9 +45,9 @@
 #[test]
 fn attempt_of_slow_request_that_must_not_run_twice_is_not_cancelled_whatever_others_announce() {
     let fixture = SlowWriterFixture::new();
-    fixture.announce(&unsafe_request(SHORT_TIMEOUT));
+    fixture.announce(&non_idempotent_request(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
-    write_slowly(&mut client, &unsafe_request(LONG_TIMEOUT).replace("r-slow", "r-held"));
+    write_slowly(&mut client, &non_idempotent_request(LONG_TIMEOUT).replace("r-slow", "r-held"));
     wait_for("the attempt", || fixture.received_request("r-held").is_some());
     thread::sleep(SHORT_TIMEOUT + PAUSE);
     fixture.release.open();
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -121,13 +121,13 @@
 }
 
 /// A request with a body that must not run twice, with this timeout.
-pub fn unsafe_request(timeout: Duration) -> String {
+pub fn non_idempotent_request(timeout: Duration) -> String {
     submit("r-slow", &timeout.as_secs_f64().to_string(), &"x".repeat(1000))
 }
 
 /// A request with a body and an idempotency key, with this timeout.
 pub fn request_with_key(timeout: Duration) -> String {
-    unsafe_request(timeout)
+    non_idempotent_request(timeout)
         .replace("/submit", "/booking")
         .replace("Host: x\r\n", "Host: x\r\nIdempotency-Key: k\r\n")
 }
