--- a/crates/cli/tests/slow_requests.rs
+++ b/crates/cli/tests/slow_requests.rs
@@ -14,7 +14,7 @@
     fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
     let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
-    let waited = rejected_after(&mut client, written_at);
+    let waited = read_rejection(&mut client, written_at);
     assert!(waited < SHORT_TIMEOUT, "its client may give up after {SHORT_TIMEOUT:?}, waited {waited:?}");
     assert!(fixture.received_request("r-slow").is_none());
 }
@@ -26,9 +26,9 @@
     fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
     client.send(&request_without_body(SHORT_TIMEOUT).replace("r-slow", "r-first"));
-    rejected_after(&mut client, Instant::now());
+    read_rejection(&mut client, Instant::now());
     let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
-    let waited = rejected_after(&mut client, written_at);
+    let waited = read_rejection(&mut client, written_at);
     assert!(waited < SHORT_TIMEOUT, "its client may give up after {SHORT_TIMEOUT:?}, waited {waited:?}");
 }
 
@@ -62,5 +62,5 @@
     fixture.announce(&request_without_body(LONG_TIMEOUT));
     let mut client = fixture.proxy.client();
     let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
-    assert_near_end(rejected_after(&mut client, written_at), LONG_TIMEOUT);
+    assert_near_end(read_rejection(&mut client, written_at), LONG_TIMEOUT);
 }
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -148,7 +148,7 @@
 
 /// Reads a response and asserts that it is a rejection; returns the time since the last byte of the request was
 /// written.
-pub fn rejected_after(client: &mut Client, written_at: Instant) -> Duration {
+pub fn read_rejection(client: &mut Client, written_at: Instant) -> Duration {
     let response = client.response().expect("a response");
     let waited = written_at.elapsed();
     assert!([429, 503].contains(&response.status()), "{}", response.status());
