--- a/crates/cli/tests/slow_requests.rs
+++ b/crates/cli/tests/slow_requests.rs
@@ -62,5 +62,5 @@
     fixture.announce(&request_without_body(LONG_TIMEOUT));
     let mut client = fixture.proxy.client();
     let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
-    assert_near_end(read_rejection(&mut client, written_at), LONG_TIMEOUT);
+    assert_rejected_near_timeout(read_rejection(&mut client, written_at), LONG_TIMEOUT);
 }
--- a/crates/cli/tests/slow_requests_unlike_others.rs
+++ b/crates/cli/tests/slow_requests_unlike_others.rs
@@ -19,7 +19,7 @@
     fixture.announce(&request_without_body(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
     client.send(&request_without_body(LONG_TIMEOUT));
-    assert_near_end(read_rejection(&mut client, Instant::now()), LONG_TIMEOUT);
+    assert_rejected_near_timeout(read_rejection(&mut client, Instant::now()), LONG_TIMEOUT);
 }
 
 #[test]
@@ -29,7 +29,7 @@
     fixture.announce(&marked_as_retry(&request_without_body(SHORT_TIMEOUT)));
     let mut client = fixture.proxy.client();
     let written_at = write_slowly(&mut client, &request_without_body(LONG_TIMEOUT));
-    assert_near_end(read_rejection(&mut client, written_at), LONG_TIMEOUT);
+    assert_rejected_near_timeout(read_rejection(&mut client, written_at), LONG_TIMEOUT);
 }
 
 #[test]
@@ -39,7 +39,7 @@
     fixture.announce(&request_with_key(SHORT_TIMEOUT));
     let mut client = fixture.proxy.client();
     let written_at = write_slowly(&mut client, &request_with_key(LONG_TIMEOUT));
-    assert_near_end(read_rejection(&mut client, written_at), LONG_TIMEOUT);
+    assert_rejected_near_timeout(read_rejection(&mut client, written_at), LONG_TIMEOUT);
 }
 
 #[test]
--- a/crates/cli/tests/sockets/slow_writers.rs
+++ b/crates/cli/tests/sockets/slow_writers.rs
@@ -158,7 +158,7 @@
 }
 
 /// Asserts that a request was rejected close to its client's timeout.
-pub fn assert_near_end(waited: Duration, timeout: Duration) {
+pub fn assert_rejected_near_timeout(waited: Duration, timeout: Duration) {
     assert!(waited > timeout - MAX_EARLINESS, "rejected after {waited:?} of {timeout:?}");
     assert!(waited < timeout + MAX_LATENESS, "rejected after {waited:?} of {timeout:?}");
 }
