--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -104,7 +104,7 @@
 #[derive(Debug, Args)]
 #[command(after_help = EXIT_CODES)]
 pub struct DemoArgs {
-    /// Stop after this many seconds instead of at Ctrl-C
+    /// Stop after this many seconds; by default, run until Ctrl-C
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u64).range(1..=86_400))]
     pub seconds: Option<u64>,
     /// Requests that the clients send per second
