--- a/crates/soak/src/admin.rs
+++ b/crates/soak/src/admin.rs
@@ -7,12 +7,13 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
+/// Time limit for a call, from connecting to the end of the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Makes a call, given as method and path; returns the status and the body of the response.
+/// Sends a request, given as method and path; returns the status and the body of the response.
 ///
 /// # Errors
-/// If the connection breaks or no response comes in time.
+/// If the connection fails or the response does not arrive within the time limit.
 pub async fn call(address: SocketAddr, method_and_path: &str) -> io::Result<(u16, String)> {
     let exchange = async {
         let mut stream = TcpStream::connect(address).await?;
--- a/crates/soak/src/backend/connection.rs
+++ b/crates/soak/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a stand-in backend.
+//! The backend's side of a connection from a proxy.
 
 use std::io;
 use std::sync::Arc;
@@ -13,32 +13,33 @@
 use crate::history::Attempt;
 use crate::http::{Head, MessageReader};
 
-/// Bytes of a long response, which proxies stream.
+/// Length in bytes of a long response body, which proxies stream.
 const LONG_BODY: usize = 200 << 10;
-/// Bytes of any other response.
+/// Length in bytes of any other response body.
 const SHORT_BODY: usize = 20;
 const FAILURE: &[u8] = b"HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n";
 const REJECTION: &[u8] = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// Whether a connection goes on after a response.
+/// Whether a connection stays open after a response.
 #[derive(PartialEq)]
-enum Next {
+enum AfterResponse {
     Continue,
     Close,
 }
 
-/// The position of an attempt in the history.
+/// Index of an attempt in [`History::attempts`](crate::history::History::attempts).
 #[derive(Clone, Copy)]
 struct AttemptIndex(usize);
 
-/// One connection to a backend.
+/// A connection to a backend process.
 pub(super) struct Connection {
     pub(super) backend: Arc<Backend>,
+    /// Number of the backend process, counted from 0.
     pub(super) process: u32,
-    /// The one core of the backend, which serves a request at a time.
+    /// The backend's only core, which serves one request at a time.
     pub(super) core: Arc<Semaphore>,
-    /// Whether it may have waited in the accept queue.
-    pub(super) queued: bool,
+    /// Whether the connection may have waited in the accept queue.
+    pub(super) may_have_queued: bool,
 }
 
 impl Connection {
@@ -53,7 +54,7 @@
             reader.skip_body(&head).await?;
             let mode = self.backend.mode();
             self.record_received(attempt, mode != BackendMode::Reject);
-            if self.respond(mode, &head, &mut output).await? == Next::Close {
+            if self.respond(mode, &head, &mut output).await? == AfterResponse::Close {
                 return Ok(());
             }
         }
@@ -62,41 +63,41 @@
 
     async fn respond(
         &self, mode: BackendMode, request: &Head, output: &mut OwnedWriteHalf,
-    ) -> io::Result<Next> {
+    ) -> io::Result<AfterResponse> {
         match mode {
             BackendMode::Serve | BackendMode::AcceptNone => {
                 self.work().await;
                 output.write_all(&response(request)).await?;
-                Ok(Next::Continue)
+                Ok(AfterResponse::Continue)
             }
             BackendMode::CloseAfterAnswer => {
                 self.work().await;
                 output.write_all(&response(request)).await?;
-                Ok(Next::Close)
+                Ok(AfterResponse::Close)
             }
             BackendMode::Hang => std::future::pending().await,
             BackendMode::Fail => {
                 output.write_all(FAILURE).await?;
-                Ok(Next::Continue)
+                Ok(AfterResponse::Continue)
             }
             BackendMode::Reject => {
                 output.write_all(REJECTION).await?;
-                Ok(Next::Continue)
+                Ok(AfterResponse::Continue)
             }
             BackendMode::Reset => {
                 reset_on_drop(output.as_ref());
-                Ok(Next::Close)
+                Ok(AfterResponse::Close)
             }
             BackendMode::ResetInAnswer => {
                 let response = response(request);
                 output.write_all(&response[..response.len() / 2]).await?;
                 reset_on_drop(output.as_ref());
-                Ok(Next::Close)
+                Ok(AfterResponse::Close)
             }
         }
     }
 
-    /// Waits for the core and works, between half and one and a half times the mean service time.
+    /// Waits for the core, then sleeps for a random time between 0.5 and 1.5 times the mean service time.
     async fn work(&self) {
         let Ok(_core) = self.core.acquire().await else { return };
         let service_time = self.backend.service_time();
@@ -109,25 +110,25 @@
             backend: self.backend.index,
             process: self.process,
             started_at,
-            queued: self.queued,
+            may_have_queued: self.may_have_queued,
             received_at: None,
             timeout: head.header("x-timeout").and_then(|seconds| seconds.parse().ok()),
-            ran: false,
+            may_have_run: false,
         };
         let mut history = self.backend.recorder.history();
         history.attempts.push(attempt);
         AttemptIndex(history.attempts.len() - 1)
     }
 
-    fn record_received(&self, index: AttemptIndex, ran: bool) {
+    fn record_received(&self, index: AttemptIndex, may_have_run: bool) {
         let mut history = self.backend.recorder.history();
         let attempt = &mut history.attempts[index.0];
         attempt.received_at = Some(Instant::now());
-        attempt.ran = ran;
+        attempt.may_have_run = may_have_run;
     }
 }
 
-/// The response to a request: a long one where its path asks for that.
+/// Builds the response to a request; it is long if the path of the request contains `long=1`.
 fn response(request: &Head) -> Vec<u8> {
     let length = if request.first_line.contains("long=1") { LONG_BODY } else { SHORT_BODY };
     let mut response = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n").into_bytes();
@@ -135,7 +136,7 @@
     response
 }
 
-/// Lets the connection end with a reset once it is dropped.
+/// Makes the connection end with a TCP reset when it is dropped.
 fn reset_on_drop(stream: &TcpStream) {
-    let _ = stream.set_zero_linger(); // without it the connection ends with a FIN, which serves as well
+    let _ = stream.set_zero_linger(); // if this fails, the connection ends with a FIN, which tests the proxy as well
 }
--- a/crates/soak/src/backend/mod.rs
+++ b/crates/soak/src/backend/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in backends. Each records every attempt that reaches it, and misbehaves on demand.
+//! Test backends. Each records every attempt that reaches it, and misbehaves on demand.
 
 mod connection;
 
@@ -18,46 +18,47 @@
 
 /// Mean service time of a request on a backend of speed 1.
 const SERVICE_TIME: Duration = Duration::from_millis(30);
-/// What is accepted within this time after a period without accepts may have waited in the accept queue.
+/// A connection accepted within this time after a period without accepts may have waited in the accept queue.
 const QUEUE_TIME: Duration = Duration::from_millis(100);
-/// Between checks whether connections are to be accepted again.
+/// Interval between checks whether the backend accepts connections again.
 const ACCEPT_CHECK_PERIOD: Duration = Duration::from_millis(10);
-/// Length of the accept queue.
+/// Length of the accept queue, in connections.
 const BACKLOG: u32 = 1024;
 
-/// What a backend does with requests.
+/// How a backend treats requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BackendMode {
-    /// Serves them.
+    /// Serves requests.
     #[default]
     Serve,
-    /// Reads them and never answers.
+    /// Reads requests and never responds.
     Hang,
-    /// Answers 500.
+    /// Responds with status 500.
     Fail,
-    /// Rejects them unprocessed.
+    /// Responds with status 503 and marks the request as not processed.
     Reject,
-    /// Resets the connection once it has the request.
+    /// Resets the connection after it has read the request.
     Reset,
-    /// Sends half of the response and resets.
+    /// Sends half of the response, then resets the connection.
     ResetInAnswer,
-    /// Answers, and closes the connection without notice.
+    /// Responds, then closes the connection without a `Connection: close` header.
     CloseAfterAnswer,
-    /// Accepts no connection.
+    /// Accepts no new connections.
     AcceptNone,
 }
 
 /// A backend with its current process.
 pub struct Backend {
-    /// Its index.
+    /// Index of the backend in the fleet.
     pub index: usize,
-    /// Its cell.
+    /// Cell of the backend; the backends of a cell share their deduplication of requests.
     pub cell: usize,
-    /// Where it listens.
+    /// Address on which the backend listens.
     pub address: SocketAddr,
+    /// Service rate relative to a backend of speed 1.
     speed: f64,
     mode: Mutex<BackendMode>,
-    /// The number of its current process, counted from 0.
+    /// Number of the current process, counted from 0.
     process: AtomicU32,
     started_at: Mutex<Instant>,
     running: Mutex<Option<JoinHandle<()>>>,
@@ -68,7 +69,7 @@
     /// Starts a backend whose slow start is over.
     ///
     /// # Errors
-    /// If it finds no port.
+    /// If no port is free.
     pub async fn start(
         index: usize, cell: usize, speed: f64, recorder: Arc<Recorder>,
     ) -> io::Result<Arc<Self>> {
@@ -89,12 +90,12 @@
         Ok(backend)
     }
 
-    /// Requests a second that it serves after slow start.
+    /// Requests per second that the backend can serve after slow start.
     pub fn capacity(&self) -> f64 {
         self.speed / SERVICE_TIME.as_secs_f64()
     }
 
-    /// Changes what it does with requests.
+    /// Changes how the backend treats requests.
     pub fn set_mode(&self, mode: BackendMode) {
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner) = mode;
     }
@@ -103,7 +104,7 @@
         *self.mode.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Its process crashes: its connections are reset and new ones refused.
+    /// Crashes the current process: its connections are reset and new ones refused.
     pub fn crash(&self) {
         if let Some(running) = &*self.running.lock().unwrap_or_else(PoisonError::into_inner) {
             running.abort();
@@ -113,12 +114,12 @@
     /// Starts a new process at the same address, in slow start.
     ///
     /// # Errors
-    /// If the port can't be had again.
+    /// If the port can't be bound again.
     pub async fn restart(self: &Arc<Self>) -> io::Result<()> {
         self.crash();
         let old = self.running.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(old) = old {
-            let _ = old.await; // its port is free once it has ended
+            let _ = old.await; // the port is free once the old task has ended
         }
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
@@ -139,7 +140,7 @@
         *self.running.lock().unwrap_or_else(PoisonError::into_inner) = Some(running);
     }
 
-    /// Accepts and serves connections until it is aborted, which drops them.
+    /// Accepts and serves connections until the task is aborted, which drops the connections.
     async fn accept_connections(self: Arc<Self>, listener: TcpListener) {
         let process = self.process.load(SeqCst);
         let core = Arc::new(Semaphore::new(1));
@@ -151,14 +152,15 @@
                 tokio::time::sleep(ACCEPT_CHECK_PERIOD).await;
             }
             let Ok((stream, _)) = listener.accept().await else { continue };
-            let queued = Instant::now() < queued_until || self.mode() == BackendMode::AcceptNone;
-            let connection = Connection { backend: self.clone(), process, core: core.clone(), queued };
+            let may_have_queued = Instant::now() < queued_until || self.mode() == BackendMode::AcceptNone;
+            let connection =
+                Connection { backend: self.clone(), process, core: core.clone(), may_have_queued };
             connections.spawn(async move { connection.serve(stream).await.unwrap_or(()) });
             while connections.try_join_next().is_some() {}
         }
     }
 
-    /// Mean service time at present, slow start included.
+    /// Current mean service time, which is longer during slow start.
     fn service_time(&self) -> Duration {
         let age = self.started_at.lock().unwrap_or_else(PoisonError::into_inner).elapsed();
         SERVICE_TIME.div_f64(self.speed * slow_start_factor(age))
--- a/crates/soak/src/clients/behavior.rs
+++ b/crates/soak/src/clients/behavior.rs
@@ -1,25 +1,25 @@
-//! What clients do with their requests.
+//! Behavior of clients: how they send requests and read responses.
 
-/// How many of a hundred requests clients treat in each unusual way.
+/// Percentage of requests for which clients show each kind of unusual behavior.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClientBehavior {
-    /// They cancel the request by closing the connection.
+    /// Requests that the client cancels by closing the connection.
     pub cancel_percent: u32,
-    /// They send the next request at once, behind the first.
+    /// Requests behind which the client pipelines a second one, without waiting for the response.
     pub pipeline_percent: u32,
-    /// They send a long body.
+    /// Requests with a long body.
     pub upload_percent: u32,
-    /// They ask for a long response and read it slowly.
+    /// Requests for a long response, which the client reads slowly.
     pub read_slowly_percent: u32,
-    /// They stop in the middle of the request and keep the connection.
+    /// Requests that the client never completes although it keeps the connection open.
     pub stall_percent: u32,
-    /// They write the request in pieces, with pauses.
+    /// Requests that the client writes in pieces, with pauses.
     pub write_slowly_percent: u32,
 }
 
 impl ClientBehavior {
-    /// What clients do without a fault.
-    pub const USUAL: ClientBehavior = ClientBehavior {
+    /// Behavior of clients while no fault changes it.
+    pub const NORMAL: ClientBehavior = ClientBehavior {
         cancel_percent: 4,
         pipeline_percent: 2,
         upload_percent: 2,
@@ -28,7 +28,7 @@
         write_slowly_percent: 4,
     };
 
-    /// Chooses what a client does with its next request.
+    /// Chooses at random how a client behaves during its next request.
     pub(super) fn choose(self) -> RequestBehavior {
         let choices = [
             (self.cancel_percent, RequestBehavior::Cancel),
@@ -48,19 +48,19 @@
     }
 }
 
-/// What a client does with one request.
+/// Behavior of a client during one request.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum RequestBehavior {
     /// Waits for the response.
     Wait,
-    /// Closes the connection before the response.
+    /// Closes the connection before the response arrives.
     Cancel,
-    /// Sends another request behind it.
+    /// Pipelines a second request behind the first.
     Pipeline,
     /// Reads the response slowly.
     ReadSlowly,
-    /// Sends only a part of it.
+    /// Sends only a part of the request.
     Stall,
-    /// Sends it in pieces, with pauses.
+    /// Sends the request in pieces, with pauses.
     WriteSlowly,
 }
--- a/crates/soak/src/clients/connection.rs
+++ b/crates/soak/src/clients/connection.rs
@@ -12,13 +12,14 @@
 use crate::http::MessageReader;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longer than any deadline of a class.
+/// Time limit for writing a request; longer than the deadline of any class.
 const SEND_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A connection of a client.
+/// A client's connection to a proxy.
 pub(super) struct Connection {
     pub(super) reader: MessageReader<OwnedReadHalf>,
     output: OwnedWriteHalf,
+    /// Number of requests that were sent whole on this connection.
     requests: u32,
 }
 
@@ -30,7 +31,7 @@
         Ok(Connection { reader: MessageReader::new(input), output, requests: 0 })
     }
 
-    /// Writes a whole request, or gives it up.
+    /// Writes a whole request, or its remaining bytes; fails after [`SEND_TIMEOUT`].
     pub(super) async fn send(&mut self, request: &[u8]) -> io::Result<()> {
         self.requests += 1;
         timeout(SEND_TIMEOUT, self.output.write_all(request)).await?
@@ -41,12 +42,12 @@
         self.output.write_all(part).await
     }
 
-    /// Whether it has carried a request.
+    /// Whether the connection has already carried a request.
     pub(super) fn is_reused(&self) -> bool {
         self.requests > 0
     }
 
-    /// Whether the proxy has closed it, as far as is known.
+    /// Whether the proxy has closed the connection, as far as the local socket shows.
     pub(super) fn is_closed(&self) -> bool {
         let mut byte = [0];
         match self.output.as_ref().try_read(&mut byte) {
--- a/crates/soak/src/clients/mod.rs
+++ b/crates/soak/src/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients, most of them well-behaved.
+//! Test clients, which behave well in most of their requests.
 
 mod behavior;
 mod connection;
@@ -21,21 +21,22 @@
 
 /// Mean pause between the requests of a client.
 const MEAN_PAUSE: Duration = Duration::from_millis(250);
-/// How long a response is still waited for after its time, to see whether it comes at all.
+/// How long a client still waits after the request's timeout, to tell a late response from a missing one.
 const EXTRA_WAIT: Duration = Duration::from_millis(1500);
-/// How long the body of a response may take.
+/// Time limit for reading the body of a response.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a slow reader waits between head and body.
+/// How long a slow reader pauses between the head and the body of a response.
 const SLOW_READ_PAUSE: Duration = Duration::from_millis(300);
-/// Pieces in which a slow writer sends a request, and its pause behind each but the last.
+/// Number of pieces in which a slow writer sends a request.
 const SLOW_WRITE_PIECES: usize = 5;
+/// How long a slow writer pauses after each piece but the last.
 const SLOW_WRITE_PAUSE: Duration = Duration::from_millis(120);
-/// How long a client that stalls waits for the proxy to close.
+/// How long a client that stalls waits for the proxy to close the connection.
 const STALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// A client cancels before this time, in milliseconds.
+/// Upper bound of the time after which a client cancels a request, in milliseconds.
 const MAX_CANCEL_DELAY_MS: u64 = 300;
 
-/// Gives each request a unique id.
+/// Generates a unique ID for each request.
 #[derive(Default)]
 pub struct RequestIds(AtomicU64);
 
@@ -47,18 +48,18 @@
 
 /// A client of one proxy.
 pub struct Client {
-    /// The proxy that it sends requests to.
+    /// The proxy that receives the client's requests.
     pub proxy: Arc<Proxy>,
-    /// Where it records what it observes.
+    /// Records the client's requests and their outcomes.
     pub recorder: Arc<Recorder>,
-    /// Where its request ids come from.
+    /// Generates the IDs of the client's requests.
     pub ids: Arc<RequestIds>,
-    /// What it does at present.
+    /// Current behavior, shared by all clients of the fleet.
     pub behavior: Arc<Mutex<ClientBehavior>>,
 }
 
 impl Client {
-    /// Sends requests for ever.
+    /// Sends requests until the task is aborted.
     pub async fn run(self) {
         let mut idle: Option<Connection> = None;
         loop {
@@ -75,7 +76,7 @@
     }
 
     async fn connect(&self) -> io::Result<Connection> {
-        if !self.proxy.accepts() {
+        if !self.proxy.accepts_connections() {
             return Err(io::ErrorKind::NotConnected.into());
         }
         Connection::open(self.proxy.spec.listen).await
@@ -86,7 +87,7 @@
         PlannedRequest::random(self.ids.next(), behavior)
     }
 
-    /// Sends a request and treats it as planned; returns the connection if it can be reused.
+    /// Sends a request, then waits or cancels as planned; returns the connection if it can be reused.
     async fn exchange(&self, mut connection: Connection) -> Option<Connection> {
         let request = self.plan_request();
         self.record_request(&request, connection.is_reused());
@@ -119,15 +120,15 @@
         Ok(())
     }
 
-    /// Sends a second request behind the first and waits for both.
+    /// Pipelines a second request behind the first and waits for both responses.
     async fn pipeline(&self, mut connection: Connection, first: &PlannedRequest) -> Option<Connection> {
         let mut second = self.plan_request();
         second.behavior = RequestBehavior::Wait;
         second.long_response = false;
         self.record_request(&second, true);
-        let _ = self.send(&mut connection, &second).await; // a failure shows at the first response
+        let _ = self.send(&mut connection, &second).await; // an error also shows when the first response is read
         let Some(connection) = self.receive(connection, first).await else {
-            // The second has not been read, or is given up with the connection.
+            // The proxy has not read the second request, or the client cancels it by dropping the connection.
             self.record_cancelled(&second);
             return None;
         };
@@ -164,13 +165,13 @@
         (is_complete && !head.closes()).then_some(connection)
     }
 
-    /// Sends a part of a request and waits until the proxy closes.
+    /// Sends a part of a request and waits until the proxy closes the connection.
     async fn stall(&self, mut connection: Connection, request: &PlannedRequest) -> Option<Connection> {
         let bytes = request.to_bytes();
         let part = fastrand::usize(1..bytes.len());
         connection.send_part(&bytes[..part]).await.ok()?;
         if timeout(STALL_TIMEOUT, connection.reader.read_head()).await.is_err() {
-            // It never was a complete request, but the proxy has to end it.
+            // The request was never complete, but the proxy has to respond or close the connection.
             self.recorder.record_outcome(&request.id, RequestOutcome::Unanswered);
         }
         None
@@ -196,7 +197,7 @@
     }
 }
 
-/// Sends all but the last piece of a request, with a pause behind each; returns that piece.
+/// Sends all but the last piece of a request, with a pause after each; returns the last piece.
 async fn send_slowly<'a>(connection: &mut Connection, bytes: &'a [u8]) -> io::Result<&'a [u8]> {
     let mut rest = bytes;
     let piece_length = bytes.len().div_ceil(SLOW_WRITE_PIECES);
--- a/crates/soak/src/clients/request.rs
+++ b/crates/soak/src/clients/request.rs
@@ -1,11 +1,11 @@
-//! A request that a client is about to send.
+//! Random choice and serialization of a client's next request.
 
 use std::time::Duration;
 
 use super::behavior::{ClientBehavior, RequestBehavior};
 use crate::settings::RequestClass;
 
-/// Bytes of a long body.
+/// Length in bytes of a long request body.
 const LONG_BODY: usize = 200 << 10;
 
 /// A request that is about to be sent.
@@ -19,18 +19,18 @@
 }
 
 impl PlannedRequest {
-    /// Chooses a request at random.
+    /// Chooses the request's class, timeout and body at random, and its behavior by the given percentages.
     pub(super) fn random(id: String, behavior: ClientBehavior) -> Self {
         let chosen = behavior.choose();
-        let upload = chosen == RequestBehavior::Wait && fastrand::u32(0..100) < behavior.upload_percent;
-        let class = if upload {
+        let is_upload = chosen == RequestBehavior::Wait && fastrand::u32(0..100) < behavior.upload_percent;
+        let class = if is_upload {
             RequestClass::Submit
         } else {
             RequestClass::ALL[fastrand::usize(0..RequestClass::ALL.len())]
         };
         let body_length = match class {
             RequestClass::Read => 0,
-            _ if upload => LONG_BODY,
+            _ if is_upload => LONG_BODY,
             _ => fastrand::usize(1..2000),
         };
         PlannedRequest {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Its bytes on the wire.
+    /// Serializes the request for the wire.
     pub(super) fn to_bytes(&self) -> Vec<u8> {
         let method = if self.class == RequestClass::Read { "GET" } else { "POST" };
         let class = self.class.name();
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Stand-in discovery with a listener for each proxy, so that it is known what was published to whom.
+//! Test discovery service with a separate listener for each proxy, so that it is known what was published to which
+//! proxy.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,50 +16,51 @@
 use crate::backend::Backend;
 use crate::http::MessageReader;
 
-/// An empty line is sent this often while nothing changes.
+/// Interval between the empty lines that a watch sends while nothing changes.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(1900);
-/// How long a slow discovery takes for a response.
+/// Delay of each response in [`DiscoveryMode::Slow`].
 const SLOW_RESPONSE: Duration = Duration::from_millis(700);
-/// Between checks whether it is still silent.
+/// Interval between checks whether discovery is still silent.
 const SILENCE_CHECK_PERIOD: Duration = Duration::from_millis(10);
-/// Length of a listener's accept queue.
+/// Length of a listener's accept queue, in connections.
 const BACKLOG: u32 = 256;
 
 /// How discovery behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// It answers.
+    /// Responds normally.
     #[default]
     Up,
-    /// It answers late.
+    /// Responds late.
     Slow,
-    /// It accepts connections and keeps watches open, but sends nothing.
+    /// Accepts connections and keeps watches open, but sends nothing.
     Silent,
-    /// It rejects calls.
+    /// Rejects calls with status 503.
     Busy,
 }
 
 /// An entry of the endpoint list.
 struct Entry {
-    /// The version of its last change.
+    /// The list's version at the last change of this entry.
     version: u64,
-    /// Its form on the wire.
+    /// The entry as it is sent to proxies.
     json: Value,
 }
 
 /// The endpoint list and how it is published.
 #[derive(Default)]
 struct State {
+    /// Version of the list, which grows with each change.
     version: u64,
-    /// By name.
+    /// The entries by backend name.
     entries: BTreeMap<String, Entry>,
     mode: DiscoveryMode,
-    /// Watches that were opened in another epoch end.
+    /// Current epoch of watches; those that were opened in an earlier epoch end.
     epoch: u64,
 }
 
 impl State {
-    /// The changes after a version, or the full list.
+    /// Serializes the changes after a version, or the full list if no version is given.
     fn changes_since(&self, after: Option<u64>) -> String {
         let changed = self.entries.values().filter(|entry| after.is_none_or(|after| entry.version > after));
         let listed = changed.filter(|entry| after.is_some() || entry.json["health"] != "removed");
@@ -76,32 +78,33 @@
 /// The state of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It takes requests.
+    /// Accepts requests.
     Up,
-    /// It takes no new ones.
+    /// Accepts no new requests.
     Draining,
-    /// It has been removed.
+    /// Has been removed from the list.
     Removed,
 }
 
-/// The discovery of one fleet.
+/// The discovery service of one fleet.
 pub struct Discovery {
     state: Mutex<State>,
+    /// Notifies open watches of each new version of the list.
     changes: watch::Sender<u64>,
     listeners: Mutex<Vec<Listener>>,
 }
 
 impl Discovery {
-    /// Discovery without backends or listeners.
+    /// Creates a discovery service without backends or listeners.
     pub fn new() -> Arc<Self> {
         let (changes, _) = watch::channel(0);
         Arc::new(Discovery { state: Mutex::default(), changes, listeners: Mutex::default() })
     }
 
-    /// Opens one more listener.
+    /// Opens another listener and returns its address.
     ///
     /// # Errors
-    /// If it finds no port.
+    /// If no port is free.
     pub async fn listen(self: &Arc<Self>) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -110,7 +113,8 @@
         Ok(address)
     }
 
-    /// Publishes a backend, with the wall-clock time of its start if it has just started.
+    /// Publishes a backend. `started_at` is the wall-clock time of its start if it has just started; without it, the
+    /// listed start time stays.
     pub fn publish(&self, backend: &Backend, health: Health, started_at: Option<SystemTime>) {
         let name = backend_name(backend.index);
         let health = match health {
@@ -130,7 +134,7 @@
         self.changes.send_replace(version);
     }
 
-    /// Changes how it behaves. Open watches go on, or become silent.
+    /// Changes how discovery behaves. Open watches stay open; they send nothing in [`DiscoveryMode::Silent`].
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.state().mode = mode;
     }
@@ -142,20 +146,20 @@
         self.changes.send_replace(state.version);
     }
 
-    /// Takes it down: connections are refused and watches are reset.
+    /// Stops all listeners: new connections are refused and open watches are reset.
     pub fn stop(&self) {
         self.listeners().iter().for_each(|listener| listener.task.abort());
     }
 
-    /// Brings it back at the same addresses.
+    /// Opens the listeners again at the same addresses.
     ///
     /// # Errors
-    /// If a port can't be had again.
+    /// If a port can't be bound again.
     pub async fn resume(self: &Arc<Self>) -> io::Result<()> {
         let stopped = std::mem::take(&mut *self.listeners());
         for Listener { address, task } in stopped {
             task.abort();
-            let _ = task.await; // its port is free once it has ended
+            let _ = task.await; // the port is free once the task has ended
             let socket = TcpSocket::new_v4()?;
             socket.set_reuseaddr(true)?;
             socket.bind(address)?;
@@ -178,13 +182,13 @@
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
             let discovery = self.clone();
-            calls.spawn(async move { discovery.answer(stream).await.unwrap_or(()) });
+            calls.spawn(async move { discovery.respond(stream).await.unwrap_or(()) });
             while calls.try_join_next().is_some() {}
         }
     }
 
-    /// Answers one call with a watch that lasts until its connection or its epoch ends.
-    async fn answer(&self, stream: TcpStream) -> io::Result<()> {
+    /// Responds to a call with a watch that lasts until its connection or its epoch ends.
+    async fn respond(&self, stream: TcpStream) -> io::Result<()> {
         let (input, mut output) = stream.into_split();
         let Some(head) = MessageReader::new(input).read_head().await? else { return Ok(()) };
         let mut changes = self.changes.subscribe();
@@ -203,7 +207,7 @@
             changes.borrow_and_update();
             let Some(line) = watch.next_line(&self.state()) else { return Ok(()) };
             output.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await?;
-            let _ = tokio::time::timeout(HEARTBEAT_PERIOD, changes.changed()).await; // a heartbeat is due then
+            let _ = tokio::time::timeout(HEARTBEAT_PERIOD, changes.changed()).await; // timeout: a heartbeat is due
             self.wait_while_silent().await;
         }
     }
@@ -223,13 +227,13 @@
 /// An open watch of one proxy.
 struct Watch {
     epoch: u64,
-    /// The version that the proxy has.
+    /// The version of the list that was last sent to the proxy.
     sent_version: Option<u64>,
     is_first_line: bool,
 }
 
 impl Watch {
-    /// The next line: changes, or a heartbeat. `None` if the watch has been reset.
+    /// Returns the next line to send: changes, or an empty line as a heartbeat. `None` if the watch has been reset.
     fn next_line(&mut self, state: &State) -> Option<String> {
         if state.epoch != self.epoch {
             return None;
@@ -251,7 +255,7 @@
     format!("s-{backend}")
 }
 
-/// The version from which a watch resumes, out of its request line.
+/// Parses the version from which a watch resumes out of its request line.
 fn resume_version(request_line: &str) -> Option<u64> {
     let (_, rest) = request_line.split_once("after=")?;
     rest.split(|character: char| !character.is_ascii_digit()).next()?.parse().ok()
--- a/crates/soak/src/error.rs
+++ b/crates/soak/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a fleet could not be run.
+//! Errors that keep a fleet from running.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -10,35 +10,35 @@
     /// A file or a folder could not be created.
     #[error("can't create {}: {error}", path.display())]
     Create {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The program of the proxy could not be started.
-    #[error("the proxy does not start: {0}")]
+    /// The proxy's executable could not be started.
+    #[error("can't start the proxy: {0}")]
     Spawn(io::Error),
     /// A process of a proxy exited before it was ready.
     #[error("a process of proxy {proxy} exited before it was ready")]
     ExitedEarly {
-        /// The proxy.
+        /// Index of the proxy.
         proxy: usize,
     },
     /// A process of a proxy was not ready in time.
-    #[error("a process of proxy {proxy} is not ready in {timeout:?}")]
+    #[error("a process of proxy {proxy} was not ready within {timeout:?}")]
     NotReady {
-        /// The proxy.
+        /// Index of the proxy.
         proxy: usize,
-        /// The time that it had.
+        /// The time limit.
         timeout: Duration,
     },
-    /// A fault lasted longer than any may.
-    #[error("a fault did not end")]
+    /// A fault did not end within the time limit that applies to all faults.
+    #[error("a fault did not end in time")]
     FaultTimeout,
     /// A task of the test panicked.
     #[error(transparent)]
     Task(#[from] tokio::task::JoinError),
-    /// A socket or a file of the test failed.
+    /// An operation of the test on a socket or a file failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults as values, and their choice by a seeded random stream.
+//! Descriptions of faults, and their random choice from a seed.
 
 use fastrand::Rng;
 
@@ -7,7 +7,7 @@
 use crate::discovery::DiscoveryMode;
 use crate::syscall_faults::Errno;
 
-/// One fault. Numbers are indices of proxies and backends.
+/// A fault to inject. Numbers are indices of proxies or backends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// A proxy is terminated and restarted.
@@ -16,28 +16,28 @@
     Kill(usize),
     /// A proxy is replaced by a successor that runs beside it for a while.
     Upgrade(usize),
-    /// A proxy gets another configuration, or a broken one.
+    /// A proxy reloads a changed configuration, or a broken one.
     Reload {
-        /// Which.
+        /// Index of the proxy.
         proxy: usize,
         /// Whether the configuration is broken.
         broken: bool,
     },
-    /// A proxy's process is stopped for a moment.
+    /// A proxy's process is stopped for a moment (SIGSTOP, SIGCONT).
     Pause(usize),
     /// Operators drain a proxy for a while.
     Drain(usize),
-    /// Operators put a backend into maintenance at all proxies, restart it and take it out again.
+    /// Operators put a backend into maintenance at all proxies, restart it and end the maintenance.
     Maintenance(usize),
-    /// A backend drains, is removed, and comes back as a new process.
+    /// A backend drains, is removed, and returns as a new process.
     Replace(usize),
     /// A backend crashes and restarts.
     Crash(usize),
     /// A backend misbehaves.
     Misbehave {
-        /// Which.
+        /// Index of the backend.
         backend: usize,
-        /// How.
+        /// How the backend treats requests.
         mode: BackendMode,
     },
     /// Discovery is down.
@@ -46,82 +46,83 @@
     Discovery(DiscoveryMode),
     /// All watches are reset.
     WatchesReset,
-    /// The wall clock of all machines is stepped, and a backend restarts after that.
+    /// The wall clock of all machines is stepped, and a backend restarts afterwards.
     ClockStep {
-        /// By how much.
+        /// Size of the step in seconds; positive is forward.
         seconds: i64,
-        /// Which backend.
+        /// Index of the backend that restarts.
         backend: usize,
     },
     /// Socket calls of a proxy fail.
     SystemErrors {
-        /// Which.
+        /// Index of the proxy.
         proxy: usize,
-        /// How.
+        /// The error that the calls return.
         errno: Errno,
     },
-    /// System calls of a proxy are interrupted and cut short.
+    /// System calls of a proxy are interrupted, and its reads and writes are cut short.
     Interruptions(usize),
-    /// The files of a proxy can't be written.
+    /// The handover files of a proxy can't be opened.
     Files {
-        /// Which.
+        /// Index of the proxy.
         proxy: usize,
-        /// Why.
+        /// The error that opening a file returns.
         errno: Errno,
     },
-    /// More clients misbehave.
+    /// Clients misbehave more often.
     Clients(ClientFault),
 }
 
-/// How more clients misbehave.
+/// A kind of client misbehavior that becomes more frequent during a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientFault {
-    /// They cancel requests.
+    /// Clients cancel requests.
     Leave,
-    /// They send several requests at once.
+    /// Clients pipeline requests.
     Pipeline,
-    /// They send long bodies.
+    /// Clients send long bodies.
     Upload,
-    /// They read slowly.
+    /// Clients read responses slowly.
     ReadSlowly,
-    /// They stop in the middle of a request.
+    /// Clients stop in the middle of a request.
     Stall,
 }
 
 impl ClientFault {
-    /// What clients do during the fault.
+    /// Behavior of clients during the fault.
     pub fn behavior(self) -> ClientBehavior {
-        let usual = ClientBehavior::USUAL;
+        let normal = ClientBehavior::NORMAL;
         match self {
-            ClientFault::Leave => ClientBehavior { cancel_percent: 40, ..usual },
-            ClientFault::Pipeline => ClientBehavior { pipeline_percent: 40, ..usual },
-            ClientFault::Upload => ClientBehavior { upload_percent: 40, ..usual },
-            ClientFault::ReadSlowly => ClientBehavior { read_slowly_percent: 25, ..usual },
-            ClientFault::Stall => ClientBehavior { stall_percent: 20, ..usual },
+            ClientFault::Leave => ClientBehavior { cancel_percent: 40, ..normal },
+            ClientFault::Pipeline => ClientBehavior { pipeline_percent: 40, ..normal },
+            ClientFault::Upload => ClientBehavior { upload_percent: 40, ..normal },
+            ClientFault::ReadSlowly => ClientBehavior { read_slowly_percent: 25, ..normal },
+            ClientFault::Stall => ClientBehavior { stall_percent: 20, ..normal },
         }
     }
 }
 
-/// What faults can be chosen for a fleet.
+/// The properties of a fleet that limit which faults can be chosen for it.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultScope {
-    /// How many proxies it has.
+    /// Number of proxies in the fleet.
     pub proxies: usize,
-    /// How many backends.
+    /// Number of backends in the fleet.
     pub backends: usize,
-    /// Whether its proxies can be upgraded.
-    pub upgrades: bool,
+    /// Whether the proxies can be upgraded.
+    pub can_upgrade: bool,
 }
 
 impl Fault {
-    /// Chooses a fault. The order of the draws is part of the plan: a seed has to give the same faults in each run.
+    /// Chooses a fault at random. The order of the random draws must not change: a seed has to give the same faults in
+    /// each run.
     pub fn random(rng: &mut Rng, scope: FaultScope) -> Fault {
         let proxy = rng.usize(0..scope.proxies);
         let backend = rng.usize(0..scope.backends);
         match rng.u32(0..20) {
             0 | 1 => Fault::Restart(proxy),
             2 => Fault::Kill(proxy),
-            3 | 4 if scope.upgrades => Fault::Upgrade(proxy),
+            3 | 4 if scope.can_upgrade => Fault::Upgrade(proxy),
             3..6 => Fault::Reload { proxy, broken: rng.bool() },
             6 => Fault::Pause(proxy),
             7 => Fault::Drain(proxy),
@@ -140,7 +141,7 @@
     }
 }
 
-fn pick<T: Copy>(rng: &mut Rng, choices: &[T]) -> T {
+fn choose<T: Copy>(rng: &mut Rng, choices: &[T]) -> T {
     choices[rng.usize(0..choices.len())]
 }
 
@@ -154,7 +155,7 @@
         BackendMode::CloseAfterAnswer,
         BackendMode::AcceptNone,
     ];
-    pick(rng, &modes)
+    choose(rng, &modes)
 }
 
 fn random_discovery_fault(rng: &mut Rng) -> Fault {
@@ -167,7 +168,7 @@
 }
 
 fn random_clock_step(rng: &mut Rng) -> i64 {
-    pick(rng, &[-3600, -5, 5, 3600])
+    choose(rng, &[-3600, -5, 5, 3600])
 }
 
 fn random_socket_error(rng: &mut Rng) -> Errno {
@@ -178,11 +179,11 @@
         Errno::NetworkUnreachable,
         Errno::ConnectionAborted,
     ];
-    pick(rng, &errors)
+    choose(rng, &errors)
 }
 
 fn random_file_error(rng: &mut Rng) -> Errno {
-    pick(rng, &[Errno::NoSpace, Errno::Io, Errno::TooManyFiles])
+    choose(rng, &[Errno::NoSpace, Errno::Io, Errno::TooManyFiles])
 }
 
 fn random_client_fault(rng: &mut Rng) -> ClientFault {
@@ -193,5 +194,5 @@
         ClientFault::ReadSlowly,
         ClientFault::Stall,
     ];
-    pick(rng, &faults)
+    choose(rng, &faults)
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real proxies with stand-in backends, discovery and clients.
+//! A small fleet of real proxies with test backends, test discovery and test clients.
 
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicI64, Ordering::SeqCst};
@@ -17,31 +17,33 @@
 use crate::proxy::{LaunchOptions, Proxy, free_address};
 use crate::settings::ProxySpec;
 
-/// Proxies of a fleet with gossip; more can't reach all others by one address on loopback.
+/// Number of proxies in a fleet with gossip. The configuration has one address to reach all peers, and on loopback one
+/// address reaches only one proxy.
 const GOSSIPING_PROXIES: usize = 2;
-/// Proxies of a fleet without gossip.
+/// Number of proxies in a fleet without gossip.
 const ISOLATED_PROXIES: usize = 3;
 const BACKENDS: usize = 6;
 const BACKENDS_PER_CELL: usize = 2;
 const CLIENTS_PER_PROXY: usize = 8;
 
-/// All parts of a small fleet.
+/// A running fleet of proxies with its backends and discovery.
 pub struct Fleet {
-    /// Its proxies.
+    /// The proxies, by index.
     pub proxies: Vec<Arc<Proxy>>,
-    /// Its backends.
+    /// The backends, by index.
     pub backends: Vec<Arc<Backend>>,
-    /// Its discovery.
+    /// The discovery service that all proxies watch.
     pub discovery: Arc<Discovery>,
-    /// What is observed.
+    /// Records everything that is observed during the run.
     pub recorder: Arc<Recorder>,
     client_behavior: Arc<Mutex<ClientBehavior>>,
-    /// By how many seconds the wall clock of the fleet is ahead.
+    /// Offset of the fleet's wall clock from the true time, in seconds; positive is ahead.
     clock_offset_s: AtomicI64,
 }
 
 impl Fleet {
-    /// Starts backends, discovery and proxies. The order of the draws is part of the plan.
+    /// Starts backends, discovery and proxies. The order of the random draws must not change: a seed has to give the
+    /// same fleet and faults in each run.
     ///
     /// # Errors
     /// If any of them does not start.
@@ -50,9 +52,9 @@
         let discovery = Discovery::new();
         let backends = start_backends(&discovery, &recorder, rng).await?;
         let gossip_enabled = rng.bool();
-        let passed_sockets = rng.bool();
+        let passes_sockets = rng.bool();
         let mut proxies = Vec::new();
-        for (spec, listener) in proxy_specs(&discovery, gossip_enabled, passed_sockets).await? {
+        for (spec, listener) in proxy_specs(&discovery, gossip_enabled, passes_sockets).await? {
             proxies.push(Proxy::new(spec, options, listener, recorder.clone())?);
         }
         start_all(&proxies).await?;
@@ -61,25 +63,25 @@
             backends,
             discovery,
             recorder,
-            client_behavior: Arc::new(Mutex::new(ClientBehavior::USUAL)),
+            client_behavior: Arc::new(Mutex::new(ClientBehavior::NORMAL)),
             clock_offset_s: AtomicI64::new(0),
         }))
     }
 
-    /// Changes what clients do.
+    /// Changes the behavior of all clients.
     pub fn set_client_behavior(&self, behavior: ClientBehavior) {
         *self.client_behavior.lock().unwrap_or_else(PoisonError::into_inner) = behavior;
     }
 
-    /// Steps the wall clock of the fleet.
-    pub fn step_clock(&self, seconds: i64) {
+    /// Steps the wall clock of the fleet by the given number of seconds.
+    pub fn step_wall_clock(&self, seconds: i64) {
         let offset = self.clock_offset_s.fetch_add(seconds, SeqCst) + seconds;
         for proxy in &self.proxies {
             proxy.syscall_faults.step_clock(offset);
         }
     }
 
-    /// The time that all clocks of the fleet show.
+    /// The wall-clock time in the fleet, with its offset.
     fn wall_clock(&self) -> SystemTime {
         let offset = self.clock_offset_s.load(SeqCst);
         let distance = Duration::from_secs(offset.unsigned_abs());
@@ -87,7 +89,7 @@
         if offset < 0 { now - distance } else { now + distance }
     }
 
-    /// Discovery publishes that a backend is draining.
+    /// Publishes that a backend is draining, and records that it is out of service from now on.
     pub fn start_draining(&self, backend: usize) -> OutOfServiceIndex {
         let since = Instant::now();
         self.discovery.publish(&self.backends[backend], Health::Draining, None);
@@ -103,7 +105,7 @@
     /// Starts a new process of a backend and publishes it.
     ///
     /// # Errors
-    /// If its port can't be had again.
+    /// If the backend's port can't be bound again.
     pub async fn restart_backend(&self, backend: usize) -> Result<(), Error> {
         self.backends[backend].restart().await?;
         self.discovery.publish(&self.backends[backend], Health::Up, Some(self.wall_clock()));
@@ -128,12 +130,12 @@
         clients
     }
 
-    /// What faults can be chosen for it.
+    /// The properties of this fleet that limit which faults can be chosen for it.
     pub fn fault_scope(&self) -> FaultScope {
         FaultScope {
             proxies: self.proxies.len(),
             backends: self.backends.len(),
-            upgrades: self.proxies.iter().all(|proxy| proxy.can_upgrade()),
+            can_upgrade: self.proxies.iter().all(|proxy| proxy.can_upgrade()),
         }
     }
 }
@@ -151,9 +153,9 @@
     Ok(backends)
 }
 
-/// The proxies of a fleet, each with the listening socket that it is passed, if any.
+/// Specifies the proxies of a fleet, each with the listening socket that is passed to its processes, if any.
 async fn proxy_specs(
-    discovery: &Arc<Discovery>, gossip_enabled: bool, passed_sockets: bool,
+    discovery: &Arc<Discovery>, gossip_enabled: bool, passes_sockets: bool,
 ) -> Result<Vec<(ProxySpec, Option<TcpListener>)>, Error> {
     let proxy_count = if gossip_enabled { GOSSIPING_PROXIES } else { ISOLATED_PROXIES };
     let peers = if gossip_enabled { Some([free_address()?, free_address()?]) } else { None };
@@ -161,7 +163,7 @@
     for index in 0..proxy_count {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let listen = listener.local_addr()?;
-        let listener = passed_sockets.then_some(listener);
+        let listener = passes_sockets.then_some(listener);
         let spec = ProxySpec { index, proxy_count, listen, discovery: discovery.listen().await?, peers };
         specs.push((spec, listener));
     }
--- a/crates/soak/src/history.rs
+++ b/crates/soak/src/history.rs
@@ -1,5 +1,5 @@
-//! What was observed from outside: requests and their outcomes, attempts that reached backends, what proxies were notified
-//! of, and what happened to processes.
+//! Record of everything that was observed from outside the proxies: requests and their outcomes, attempts that reached
+//! backends, changes that proxies were notified of, and events of processes.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,185 +10,186 @@
 /// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// With a complete response.
+    /// The client received a complete response.
     Answered {
-        /// Its status.
+        /// Status of the response.
         status: u16,
-        /// When its last byte came.
+        /// Time at which its last byte arrived.
         at: Instant,
     },
-    /// The response broke off after it had begun.
+    /// The response broke off after its head.
     Broken {
-        /// When.
+        /// Time at which the client noticed it.
         at: Instant,
     },
     /// The proxy closed the connection without a response.
     Closed {
-        /// When.
+        /// Time at which the client noticed it.
         at: Instant,
     },
-    /// The client gave up waiting.
+    /// The client stopped waiting for a response.
     Unanswered,
 }
 
 /// A request of a client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The proxy that received it.
+    /// Index of the proxy that the request was sent to.
     pub proxy: usize,
-    /// Its class.
+    /// Class of the request.
     pub class: RequestClass,
-    /// How long its client waits from its last byte.
+    /// How long the client allows for the response, counted from the last byte of the request.
     pub timeout: Duration,
-    /// When its first byte was written.
+    /// Time at which the client began to write the request.
     pub started_at: Instant,
-    /// When its last byte was written.
+    /// Time at which the client had written the whole request.
     pub sent_at: Option<Instant>,
-    /// Whether its connection had carried another request before.
+    /// Whether the connection had carried another request before.
     pub connection_reused: bool,
-    /// Whether its client reads the response slowly, so that the time of its last byte says nothing about the proxy.
+    /// Whether the client reads the response slowly, so that the arrival of its last byte says nothing about the proxy.
     pub reads_slowly: bool,
-    /// When its client cancelled it by closing the connection.
+    /// Time at which the client cancelled the request by closing the connection.
     pub cancelled_at: Option<Instant>,
-    /// How it ended.
+    /// How the request ended; `None` while it is open and for cancelled requests.
     pub outcome: Option<RequestOutcome>,
 }
 
-/// An attempt that reached a backend, if only with its first byte.
+/// An attempt of which at least the first byte reached a backend.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The id of its request.
+    /// ID of the request.
     pub request_id: String,
-    /// The backend.
+    /// Index of the backend.
     pub backend: usize,
-    /// The process of the backend, counted from 0.
+    /// Number of the backend process, counted from 0.
     pub process: u32,
-    /// When its first byte was read.
+    /// Time at which the backend read the first byte.
     pub started_at: Instant,
-    /// Whether it may have been sent earlier: its connection may have waited in the accept queue.
-    pub queued: bool,
-    /// When its last byte was read.
+    /// Whether the connection may have waited in the accept queue, so that the attempt may have been sent earlier.
+    pub may_have_queued: bool,
+    /// Time at which the backend read the last byte.
     pub received_at: Option<Instant>,
-    /// The time left that the proxy put into its header, in seconds.
+    /// Remaining time that the proxy put into the `X-Timeout` header, in seconds.
     pub timeout: Option<f64>,
-    /// Whether the backend ran it, or may have.
-    pub ran: bool,
+    /// Whether the backend executed the request, or may have.
+    pub may_have_run: bool,
 }
 
-/// A period in which a backend may get nothing new from a proxy.
+/// A period in which proxies must not send new attempts to a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct OutOfService {
-    /// The backend.
+    /// Index of the backend.
     pub backend: usize,
-    /// The proxy; `None` for all.
+    /// Index of the proxy that the period applies to; `None` if it applies to all.
     pub proxy: Option<usize>,
-    /// When proxies were notified.
+    /// Time at which proxies were notified.
     pub since: Instant,
-    /// Until when.
+    /// End of the period, if it has ended.
     pub until: Option<Instant>,
-    /// Whether it ends with the proxy's process, which passes nothing on to the next one.
+    /// Whether the period also ends when the proxy's process does, because that process has no handover to its
+    /// successor.
     pub ends_with_process: bool,
 }
 
 /// The start of a backend's process.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendStart {
-    /// The backend.
+    /// Index of the backend.
     pub backend: usize,
-    /// Its process, counted from 0.
+    /// Number of the new process, counted from 0.
     pub process: u32,
-    /// When it started.
+    /// Time of the start.
     pub at: Instant,
-    /// Requests a second that it serves after slow start.
+    /// Requests per second that the backend can serve after slow start.
     pub capacity: f64,
 }
 
-/// What happened to a process of a proxy.
+/// An event of a proxy's process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProcessEvent {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// Its health check succeeds.
+    /// The health check of the process succeeded for the first time.
     Ready,
-    /// It was sent SIGTERM.
+    /// SIGTERM was sent to the process.
     Terminated,
-    /// It was sent SIGKILL.
+    /// SIGKILL was sent to the process.
     Killed,
-    /// It exited as requested.
+    /// The process exited as requested.
     Ended,
-    /// It exited unrequested, or with an error.
+    /// The process exited unrequested, or with an error.
     Crashed(String),
-    /// It logged a line that reports a defect.
+    /// The process logged a line that reports a defect.
     Logged(String),
-    /// It held more than its limits allow.
+    /// The process used more descriptors or memory than its limits allow.
     OverLimit(String),
 }
 
-/// A process event with its proxy and its time.
+/// A process event with its proxy and time.
 #[derive(Clone, Debug)]
 pub struct ProcessRecord {
-    /// The proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// When.
+    /// Time of the event.
     pub at: Instant,
-    /// What happened.
+    /// The event.
     pub event: ProcessEvent,
 }
 
-/// A time at which this process itself was scheduled late.
+/// A delay of this process itself, caused by late scheduling.
 #[derive(Clone, Copy, Debug)]
 pub struct SchedulingDelay {
-    /// When it was noticed.
+    /// Time at which the delay was noticed.
     pub at: Instant,
-    /// By how much.
+    /// Length of the delay.
     pub delay: Duration,
 }
 
-/// A fault that was injected, for whoever reads the report.
+/// A fault that was injected, for the report.
 #[derive(Clone, Debug)]
 pub struct InjectedFault {
-    /// When it began.
+    /// Time at which the fault began.
     pub at: Instant,
-    /// What it was.
+    /// Description of the fault.
     pub description: String,
 }
 
-/// What has been observed so far.
+/// Everything that has been observed so far.
 #[derive(Debug, Default)]
 pub struct History {
-    /// By id.
+    /// Requests by ID.
     pub requests: HashMap<String, Request>,
-    /// In the order in which they reached backends.
+    /// Attempts in the order in which they reached backends.
     pub attempts: Vec<Attempt>,
-    /// Periods in which backends may get nothing.
+    /// Periods in which proxies must not send new attempts to a backend.
     pub out_of_service: Vec<OutOfService>,
-    /// When discovery recovered.
+    /// Times at which discovery recovered.
     pub discovery_recoveries: Vec<Instant>,
-    /// Starts of backends.
+    /// Starts of backend processes, except the first of each backend.
     pub backend_starts: Vec<BackendStart>,
-    /// What happened to processes.
+    /// Events of the proxies' processes.
     pub processes: Vec<ProcessRecord>,
-    /// When this process itself ran late.
+    /// Delays of this process itself.
     pub scheduling_delays: Vec<SchedulingDelay>,
     /// Faults that were injected.
     pub faults: Vec<InjectedFault>,
 }
 
-/// The place of a period in [`History::out_of_service`].
+/// Index of a period in [`History::out_of_service`].
 #[derive(Clone, Copy, Debug)]
 pub struct OutOfServiceIndex(usize);
 
-/// Records what all parts of a fleet observe.
+/// Collects the observations of all parts of a fleet.
 #[derive(Debug, Default)]
 pub struct Recorder(Mutex<History>);
 
 impl Recorder {
-    /// What has been observed, to read or to add to.
+    /// Locks the history for reading or recording.
     pub fn history(&self) -> MutexGuard<'_, History> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records what just happened to a process of a proxy.
+    /// Records an event of a proxy's process that happens now.
     pub fn record_process(&self, proxy: usize, event: ProcessEvent) {
         let record = ProcessRecord { proxy, at: Instant::now(), event };
         self.history().processes.push(record);
@@ -206,14 +207,14 @@
         }
     }
 
-    /// Records that a backend may get nothing from now on.
+    /// Records the start of an out-of-service period.
     pub fn record_out_of_service(&self, period: OutOfService) -> OutOfServiceIndex {
         let mut history = self.history();
         history.out_of_service.push(period);
         OutOfServiceIndex(history.out_of_service.len() - 1)
     }
 
-    /// Records that backends may be used again.
+    /// Records that out-of-service periods end now.
     pub fn end_out_of_service(&self, periods: &[OutOfServiceIndex]) {
         let now = Instant::now();
         let mut history = self.history();
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Records that discovery answers again.
+    /// Records that discovery responds again from now on.
     pub fn record_discovery_recovery(&self) {
         self.history().discovery_recoveries.push(Instant::now());
     }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,15 +1,15 @@
-//! The part of HTTP/1.1 that the stand-ins need.
+//! The subset of HTTP/1.1 that the test clients, backends and discovery need.
 
 use std::io;
 
 use tokio::io::{AsyncRead, AsyncReadExt as _};
 
-/// Longest head that is read, in bytes.
+/// Maximum length of a message head, in bytes.
 const MAX_HEAD_LENGTH: usize = 64 << 10;
-/// Bytes that are read at a time.
+/// Buffer space reserved for each read, in bytes.
 const READ_SIZE: usize = 64 << 10;
 
-/// A message without its body.
+/// The head of a message: its first line and its headers.
 #[derive(Clone, Debug, Default)]
 pub struct Head {
     /// The request line or the status line.
@@ -27,17 +27,17 @@
         Head { first_line, headers }
     }
 
-    /// The value of a header, by its name in lower case.
+    /// Returns the value of a header, whose name is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 
-    /// The status of a response; 0 if there is none.
+    /// Returns the status of a response; 0 if it can't be parsed.
     pub fn status(&self) -> u16 {
         self.first_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether the connection ends with this message.
+    /// Whether the sender closes the connection after this message.
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
@@ -46,16 +46,17 @@
 /// Reads messages from one side of a connection.
 pub struct MessageReader<R> {
     stream: R,
+    /// Bytes that were received but not consumed.
     unread: Vec<u8>,
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
-    /// A reader that has read nothing yet.
+    /// Creates a reader with an empty buffer.
     pub fn new(stream: R) -> Self {
         MessageReader { stream, unread: Vec::new() }
     }
 
-    /// Waits until there is something to read; returns whether there is before the connection ends.
+    /// Waits for data; returns false if the connection ends first.
     ///
     /// # Errors
     /// If reading fails.
@@ -63,7 +64,7 @@
         Ok(!self.unread.is_empty() || self.fill().await? > 0)
     }
 
-    /// Reads a head; `None` if the connection ends before one has begun.
+    /// Reads a head; `None` if the connection ends before its first byte.
     ///
     /// # Errors
     /// If reading fails, or if the head is too long or cut short.
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Reads the body that belongs to a head and drops it; returns its length.
+    /// Reads and discards the body that belongs to a head; returns its length.
     ///
     /// # Errors
     /// If reading fails, or if the body is malformed or cut short.
--- a/crates/soak/src/inject.rs
+++ b/crates/soak/src/inject.rs
@@ -1,4 +1,4 @@
-//! Injects faults into a running fleet, each from start to end.
+//! Injects faults into a running fleet and ends each of them after its duration.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -17,25 +17,25 @@
 use crate::proxy::Proxy;
 use crate::syscall_faults::{Errno, SocketErrors};
 
-/// The duration of a fault that has no length of its own, in milliseconds.
+/// Range of the random duration of a fault, in milliseconds.
 const DURATION_MS: Range<u64> = 500..3500;
-/// For how long a stopped process stays so, in milliseconds.
+/// Range of the time for which a process stays stopped, in milliseconds.
 const PAUSE_MS: Range<u64> = 20..150;
-/// Between the crash of a backend and its restart after a clock step.
-const CLOCK_STEP_RESTART: Duration = Duration::from_millis(100);
-/// Between the crash of a backend and its restart in maintenance.
-const MAINTENANCE_RESTART: Duration = Duration::from_millis(200);
-/// Between the restart of a backend and the end of its maintenance.
+/// Time between the crash of a backend and its restart after a clock step.
+const CLOCK_STEP_RESTART_DELAY: Duration = Duration::from_millis(100);
+/// Time between the crash of a backend and its restart during maintenance.
+const MAINTENANCE_RESTART_DELAY: Duration = Duration::from_millis(200);
+/// Time between the restart of a backend and the end of its maintenance.
 const MAINTENANCE_END_DELAY: Duration = Duration::from_millis(300);
-/// How many times a proxy is asked to end a backend's maintenance, until it confirms.
-const READY_CALLS: usize = 20;
-/// Between those calls.
+/// Maximum number of calls to a proxy to end a backend's maintenance; the calls stop when the proxy confirms.
+const MAX_READY_CALLS: usize = 20;
+/// Interval between calls to end a backend's maintenance.
 const READY_CALL_PERIOD: Duration = Duration::from_millis(200);
 
-/// Injects a fault and waits until it has ended. What is still random about it comes from the seed.
+/// Injects a fault and waits until it has ended. The seed determines its duration and other random details.
 ///
 /// # Errors
-/// If a part of the fleet fails in a way that no fault explains.
+/// If a part of the fleet fails in a way that the faults do not explain.
 pub async fn inject(fleet: &Fleet, fault: Fault, seed: u64) -> Result<(), Error> {
     let mut rng = Rng::with_seed(seed);
     let duration = Duration::from_millis(rng.u64(DURATION_MS));
@@ -43,9 +43,10 @@
     Injection { fleet, duration, rng }.run(fault).await
 }
 
-/// A fault while it lasts.
+/// A fault in progress.
 struct Injection<'a> {
     fleet: &'a Fleet,
+    /// Base duration; some faults last a fixed multiple or part of it.
     duration: Duration,
     rng: Rng,
 }
@@ -67,13 +68,13 @@
             Fault::Crash(backend) => self.crash(backend).await?,
             Fault::Misbehave { backend, mode } => self.misbehave(backend, mode).await,
             Fault::DiscoveryDown => self.stop_discovery().await?,
-            Fault::Discovery(mode) => self.disturb_discovery(mode).await,
+            Fault::Discovery(mode) => self.degrade_discovery(mode).await,
             Fault::WatchesReset => self.fleet.discovery.reset_watches(),
-            Fault::ClockStep { seconds, backend } => self.step_clock(seconds, backend).await?,
+            Fault::ClockStep { seconds, backend } => self.step_wall_clock(seconds, backend).await?,
             Fault::SystemErrors { proxy, errno } => self.fail_sockets(proxy, errno).await,
             Fault::Interruptions(proxy) => self.interrupt(proxy).await,
             Fault::Files { proxy, errno } => self.fail_files(proxy, errno).await,
-            Fault::Clients(fault) => self.disturb_clients(fault).await,
+            Fault::Clients(fault) => self.change_client_behavior(fault).await,
         }
         Ok(())
     }
@@ -87,7 +88,7 @@
     }
 
     async fn drain(&self, proxy: usize) {
-        let _ = self.proxy(proxy).call("PUT /healthcheck/fail").await; // a restart may overlap
+        let _ = self.proxy(proxy).call("PUT /healthcheck/fail").await; // fails if the proxy is restarting
         sleep(self.duration).await;
         let _ = self.proxy(proxy).call("PUT /healthcheck/ok").await;
     }
@@ -112,18 +113,18 @@
         Ok(())
     }
 
-    async fn disturb_discovery(&self, mode: DiscoveryMode) {
+    async fn degrade_discovery(&self, mode: DiscoveryMode) {
         self.fleet.discovery.set_mode(mode);
         sleep(2 * self.duration).await;
         self.fleet.discovery.set_mode(DiscoveryMode::Up);
         self.fleet.recorder.record_discovery_recovery();
     }
 
-    async fn step_clock(&self, seconds: i64, backend: usize) -> Result<(), Error> {
-        self.fleet.step_clock(seconds);
+    async fn step_wall_clock(&self, seconds: i64, backend: usize) -> Result<(), Error> {
+        self.fleet.step_wall_clock(seconds);
         sleep(self.duration).await;
         self.backend(backend).crash();
-        sleep(CLOCK_STEP_RESTART).await;
+        sleep(CLOCK_STEP_RESTART_DELAY).await;
         self.fleet.restart_backend(backend).await
     }
 
@@ -159,13 +160,13 @@
         faults.clear();
     }
 
-    async fn disturb_clients(&self, fault: ClientFault) {
+    async fn change_client_behavior(&self, fault: ClientFault) {
         self.fleet.set_client_behavior(fault.behavior());
         sleep(self.duration).await;
-        self.fleet.set_client_behavior(ClientBehavior::USUAL);
+        self.fleet.set_client_behavior(ClientBehavior::NORMAL);
     }
 
-    /// A backend drains, is removed and returns as a new process.
+    /// Drains a backend, removes it and starts a new process in its place.
     async fn replace(&self, backend: usize) -> Result<(), Error> {
         let period = self.fleet.start_draining(backend);
         sleep(self.duration).await;
@@ -176,15 +177,15 @@
         self.fleet.restart_backend(backend).await
     }
 
-    /// Operators put a backend into maintenance everywhere; it is restarted meanwhile.
+    /// Puts a backend into maintenance at all proxies, restarts it and ends the maintenance.
     async fn maintain(&self, backend: usize) -> Result<(), Error> {
         let periods = self.start_maintenance(backend).await;
         sleep(self.duration).await;
         self.backend(backend).crash();
-        sleep(MAINTENANCE_RESTART).await;
+        sleep(MAINTENANCE_RESTART_DELAY).await;
         self.fleet.restart_backend(backend).await?;
         sleep(MAINTENANCE_END_DELAY).await;
-        // From the first call on, whether or not it is answered, the backend may be used again.
+        // Proxies may use the backend again from the first call on, even if that call gets no response.
         self.fleet.recorder.end_out_of_service(&periods);
         for proxy in &self.fleet.proxies {
             end_maintenance(proxy, backend).await;
@@ -192,7 +193,7 @@
         Ok(())
     }
 
-    /// Puts a backend into maintenance at all proxies that confirm it.
+    /// Puts a backend into maintenance at all proxies; records an out-of-service period for each proxy that confirms.
     async fn start_maintenance(&self, backend: usize) -> Vec<OutOfServiceIndex> {
         let call = format!("PUT /backends/{}/maint", discovery::backend_name(backend));
         let mut confirmed = Vec::new();
@@ -216,7 +217,7 @@
 
 async fn end_maintenance(proxy: &Proxy, backend: usize) {
     let call = format!("PUT /backends/{}/ready", discovery::backend_name(backend));
-    for _ in 0..READY_CALLS {
+    for _ in 0..MAX_READY_CALLS {
         if matches!(proxy.call(&call).await, Ok((200, _))) {
             return;
         }
--- a/crates/soak/src/invariants/attempts.rs
+++ b/crates/soak/src/invariants/attempts.rs
@@ -1,5 +1,5 @@
-//! Checks of single attempts: nothing for cancelled requests, no more time than is left, nothing to backends that are out of
-//! service.
+//! Checks of single attempts: none begins for a cancelled request, none grants more time than the client has left, and
+//! none goes to a backend that is out of service.
 
 use std::time::Instant;
 
@@ -8,15 +8,15 @@
 use crate::history::{Attempt, OutOfService, Request};
 use crate::settings::DRAIN_GRACE;
 
-/// Checks an attempt.
+/// Checks a single attempt against all invariants that concern attempts.
 pub(super) fn check(evidence: &Evidence, attempt: &Attempt) -> Vec<Violation> {
     let Some(request) = evidence.history.requests.get(&attempt.request_id) else {
         let description =
-            format!("backend {} got {:?}, which no client sent", attempt.backend, attempt.request_id);
+            format!("backend {} received {:?}, which no client sent", attempt.backend, attempt.request_id);
         return vec![Violation::at(Invariant::NoSecondEffect, attempt.started_at, description)];
     };
-    if attempt.queued {
-        return Vec::new(); // when it was written is not known
+    if attempt.may_have_queued {
+        return Vec::new(); // the time at which the proxy wrote the attempt is unknown
     }
     let mut violations = Vec::new();
     violations.extend(check_cancelled(evidence, attempt, request));
@@ -40,13 +40,13 @@
 
 fn check_deadline(evidence: &Evidence, attempt: &Attempt, request: &Request) -> Option<Violation> {
     let at = attempt.started_at;
-    // The time of a request begins once its last byte has been sent.
+    // The timeout of a request counts from the time at which its last byte was sent.
     let sent_at = request.sent_at.unwrap_or(at);
     let left = (sent_at + request.timeout).saturating_duration_since(at.max(sent_at));
     let limit = left + MAX_PAUSE + evidence.tolerance(at);
     let timeout = attempt.timeout.filter(|timeout| *timeout > limit.as_secs_f64())?;
     let description = format!(
-        "{} gave backend {} {timeout:.3} s, at most {limit:?} were left",
+        "{} allowed backend {} {timeout:.3} s, but at most {limit:?} were left",
         attempt.request_id, attempt.backend
     );
     Some(Violation::at(Invariant::Deadline, at, description))
@@ -55,7 +55,7 @@
 fn check_drained(
     evidence: &Evidence, attempt: &Attempt, request: &Request, period: &OutOfService,
 ) -> Option<Violation> {
-    if !concerns(period, attempt, request) {
+    if !applies_to(period, attempt, request) {
         return None;
     }
     let at = attempt.started_at;
@@ -76,6 +76,6 @@
     Some(Violation::at(Invariant::Drained, at, description))
 }
 
-fn concerns(period: &OutOfService, attempt: &Attempt, request: &Request) -> bool {
+fn applies_to(period: &OutOfService, attempt: &Attempt, request: &Request) -> bool {
     period.backend == attempt.backend && period.proxy.is_none_or(|proxy| proxy == request.proxy)
 }
--- a/crates/soak/src/invariants/evidence.rs
+++ b/crates/soak/src/invariants/evidence.rs
@@ -1,4 +1,4 @@
-//! The history with what several checks need to look up in it.
+//! The history with the lookups that several checks need.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,12 +7,12 @@
 use crate::history::{Attempt, History, OutOfService, ProcessEvent, ProcessRecord};
 use crate::settings::MAX_DEADLINE;
 
-/// The error of any measured time while this process is scheduled in time.
+/// Maximum error of a measured time while this process is not delayed by the scheduler.
 const MEASUREMENT_ERROR: Duration = Duration::from_millis(60);
-/// A delay of this process concerns what was measured at most this long before or after.
+/// A scheduling delay of this process affects times that were measured less than this before or after it.
 const DELAY_RANGE: Duration = Duration::from_secs(1);
 
-/// What the checks read.
+/// The input of the checks.
 pub(super) struct Evidence<'a> {
     pub(super) history: &'a History,
     /// The cell of each backend.
@@ -34,7 +34,7 @@
         self.attempts_by_request.get(request_id).map_or(&[], Vec::as_slice)
     }
 
-    /// By how much a time measured then may be off.
+    /// Maximum error of a time that was measured around the given time.
     pub(super) fn tolerance(&self, at: Instant) -> Duration {
         let is_near = |other: Instant| other.max(at) - other.min(at) < DELAY_RANGE;
         let delays = self.history.scheduling_delays.iter().filter(|delay| is_near(delay.at));
@@ -60,21 +60,22 @@
         })
     }
 
-    /// Starts of a proxy's processes.
+    /// Times at which a proxy's processes were started, in order.
     fn process_starts(&self, proxy: usize) -> impl Iterator<Item = Instant> {
         let records = self.process_records(proxy);
         records.filter(|record| record.event == ProcessEvent::Started).map(|record| record.at)
     }
 
-    /// When an out-of-service period ends for a proxy.
+    /// Returns the time at which an out-of-service period ends for a proxy.
     pub(super) fn in_service_at(&self, period: &OutOfService, proxy: usize) -> Option<Instant> {
         let mut restarts = self.process_starts(proxy).filter(|at| *at > period.since);
         let restart = restarts.next().filter(|_| period.ends_with_process);
         [period.until, restart].into_iter().flatten().min()
     }
 
-    /// When an out-of-service period counts as known to a proxy: what discovery could not publish, some time after it
-    /// could again.
+    /// Returns the time from which a proxy has to respect an out-of-service period. If discovery recovered or the proxy
+    /// restarted after the change, that is [`NOTIFICATION_TIMEOUT`] after the last recovery or restart, because the
+    /// change may not have reached the proxy before.
     pub(super) fn notified_at(&self, period: &OutOfService, proxy: usize) -> Instant {
         if period.proxy.is_some() {
             return period.since;
--- a/crates/soak/src/invariants/mod.rs
+++ b/crates/soak/src/invariants/mod.rs
@@ -1,4 +1,4 @@
-//! Invariants that proxies have to keep, checked against what was observed.
+//! Invariants that proxies have to keep, checked against the observed history.
 
 mod attempts;
 mod evidence;
@@ -19,30 +19,30 @@
 pub enum Invariant {
     /// Each request gets one final response in time.
     Answered,
-    /// What may have run is retried only as its class allows.
+    /// A request that a backend may have run is retried only as its class allows.
     NoSecondEffect,
-    /// Backends that are out of service get nothing.
+    /// Backends that are out of service receive no new attempts.
     Drained,
     /// Backends in slow start are not overloaded.
     SlowStart,
     /// No attempt begins for a request that its client has cancelled.
     Cancelled,
-    /// The time left that a backend is given is at most what the client has left.
+    /// The remaining time that an attempt passes to its backend is at most the client's remaining time.
     Deadline,
-    /// Processes run, start and exit as they should.
+    /// Processes start, run and exit as required: they do not crash, and stay within their limits.
     Processes,
-    /// The proxy's own count of violations is zero.
+    /// The proxy itself reports no violation, in its metrics or its log.
     OwnInvariants,
 }
 
 /// A violated invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// Which.
+    /// The invariant.
     pub invariant: Invariant,
-    /// When, if that is one moment.
+    /// Time of the violation, if it is known.
     pub at: Option<Instant>,
-    /// What happened.
+    /// Description of the violation for the report.
     pub description: String,
 }
 
@@ -52,15 +52,15 @@
     }
 }
 
-/// For how long a proxy may be held up, and so how late anything may be sent.
+/// Maximum pause of a proxy process, and so the maximum delay of anything that it sends.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
-/// A response that is later than this counts as lost.
+/// Maximum delay of a response after the request's timeout; a later one violates [`Invariant::Answered`].
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
-/// An attempt may begin this long after its client has cancelled.
+/// An attempt may still begin within this time after the client has cancelled the request.
 const CANCEL_GRACE: Duration = Duration::from_millis(100);
-/// A change that discovery can publish counts as known to proxies after this time.
+/// After discovery recovers or a proxy restarts, the proxy counts as notified of earlier changes after this time.
 const NOTIFICATION_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long a process may take to exit once it is terminated.
+/// Time that a terminated process may take to exit, beyond the longest deadline.
 const EXIT_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Checks all invariants.
@@ -87,7 +87,7 @@
     let mut violations = Vec::new();
     for record in &history.processes {
         let (invariant, description) = match &record.event {
-            ProcessEvent::Crashed(status) => (Invariant::Processes, format!("ended by itself: {status}")),
+            ProcessEvent::Crashed(status) => (Invariant::Processes, format!("crashed: {status}")),
             ProcessEvent::OverLimit(usage) => (Invariant::Processes, format!("over its limits: {usage}")),
             ProcessEvent::Logged(line) => (Invariant::OwnInvariants, line.clone()),
             _ => continue,
--- a/crates/soak/src/invariants/requests.rs
+++ b/crates/soak/src/invariants/requests.rs
@@ -1,4 +1,4 @@
-//! Checks of whole requests: answered in time, and without a second effect.
+//! Checks of whole requests: each gets its response in time and takes effect at most as often as its class allows.
 
 use std::time::Instant;
 
@@ -14,17 +14,17 @@
         return None;
     }
     let due_at = sent_at + request.timeout + MAX_RESPONSE_DELAY;
-    let killed_by = |until| evidence.killed_within(request.proxy, request.started_at, until);
+    let was_killed_before = |until| evidence.killed_within(request.proxy, request.started_at, until);
     let (at, description) = match request.outcome.as_ref()? {
         RequestOutcome::Answered { at, status } => {
             if request.reads_slowly || *at <= due_at + evidence.tolerance(*at) {
                 return None;
             }
             let late = (*at - due_at).as_millis();
-            (*at, format!("answered {status}, {late} ms too late"))
+            (*at, format!("got status {status}, {late} ms too late"))
         }
-        RequestOutcome::Unanswered if !killed_by(due_at) => (due_at, "never answered".to_owned()),
-        RequestOutcome::Closed { at } if !killed_by(*at) => {
+        RequestOutcome::Unanswered if !was_killed_before(due_at) => (due_at, "got no response".to_owned()),
+        RequestOutcome::Closed { at } if !was_killed_before(*at) => {
             (*at, unexpected_close(evidence, id, request, *at)?)
         }
         _ => return None,
@@ -33,8 +33,9 @@
     Some(Violation::at(Invariant::Answered, at, description))
 }
 
-/// Describes a close without a response, unless it is allowed: a close between requests may cross the next request, and
-/// a proxy that terminates may not read a request any more.
+/// Describes a close without a response; `None` if the close is allowed. It is allowed if no attempt reached a backend
+/// and either the connection was reused (the proxy may have closed it as idle while the request was on its way) or the
+/// proxy was terminating (a terminating proxy need not read further requests).
 fn unexpected_close(evidence: &Evidence, id: &str, request: &Request, at: Instant) -> Option<String> {
     let attempted = evidence.attempts(id).iter().any(|attempt| attempt.received_at.is_some());
     let terminating = evidence.terminating_within(request.proxy, request.started_at, at);
@@ -42,14 +43,14 @@
         return None;
     }
     let reused = request.connection_reused;
-    Some(format!("closed without an answer, attempted {attempted}, reused {reused}"))
+    Some(format!("connection closed without a response, attempted {attempted}, reused {reused}"))
 }
 
 /// Checks that a request that may have run was not run again, except as its class allows.
 pub(super) fn check_single_effect(evidence: &Evidence, id: &str, request: &Request) -> Vec<Violation> {
     let mut received: Vec<(Instant, &Attempt)> = Vec::new();
     for attempt in evidence.attempts(id) {
-        if let Some(at) = attempt.received_at.filter(|_| attempt.ran) {
+        if let Some(at) = attempt.received_at.filter(|_| attempt.may_have_run) {
             received.push((at, attempt));
         }
     }
--- a/crates/soak/src/invariants/slow_start.rs
+++ b/crates/soak/src/invariants/slow_start.rs
@@ -6,10 +6,10 @@
 use crate::history::{BackendStart, History};
 use crate::settings::{OVERLOAD_MULTIPLE, OVERLOAD_WINDOW, SLOW_START, slow_start_factor};
 
-/// From this many requests on, the limit is allowed less for chance.
+/// From this expected number of requests on, the limit has a smaller margin for random variation.
 const MANY_REQUESTS: f64 = 30.0;
 
-/// Checks that a backend got no more than its limit in any window before its slow start had ended.
+/// Checks that a backend received no more requests than its limit in any window that ends during its slow start.
 pub(super) fn check(history: &History, start: &BackendStart) -> Option<Violation> {
     let requests = requests_in_slow_start(history, start);
     for (index, at) in requests.iter().enumerate() {
@@ -19,7 +19,7 @@
         let limit = slow_start_limit(OVERLOAD_MULTIPLE * capacity * OVERLOAD_WINDOW.as_secs_f64());
         if in_window as f64 > limit {
             let description = format!(
-                "backend {} got {in_window} requests within {OVERLOAD_WINDOW:?}, {:.1} s after its start; {limit:.0} allowed",
+                "backend {} received {in_window} requests within {OVERLOAD_WINDOW:?}, {:.1} s after its start; {limit:.0} allowed",
                 start.backend,
                 age.as_secs_f64()
             );
@@ -29,7 +29,7 @@
     None
 }
 
-/// When requests reached a process of a backend during its slow start, in order.
+/// Returns the times at which requests reached a backend process during its slow start, in order.
 fn requests_in_slow_start(history: &History, start: &BackendStart) -> Vec<Instant> {
     let attempts = history
         .attempts
@@ -41,7 +41,8 @@
     requests
 }
 
-/// The limit for a backend whose settings allow so many requests: with some standard deviations of a Poisson count on top.
+/// Returns the limit on the requests in a window, given the number that the settings allow: adds a margin of two or
+/// three standard deviations of a Poisson count, plus two or three requests.
 pub fn slow_start_limit(requests: f64) -> f64 {
     if requests < MANY_REQUESTS {
         requests + 3.0 * requests.sqrt() + 3.0
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,12 +1,12 @@
-//! Soak test: real proxies on loopback with stand-in clients, backends and discovery, under overlapping faults from a seeded
-//! random stream. The invariants that proxies have to keep are checked from outside.
+//! Soak test: real proxies on loopback with test clients, backends and discovery, under overlapping faults that are
+//! chosen by a seeded random number generator. The invariants that proxies have to keep are checked from outside.
 //!
 //! [`run::run`] runs one small fleet:
 //!
-//! - [`proxy`] runs its processes; [`backend`], [`discovery`] and [`clients`] stand in for the rest of the platform;
-//! - [`fleet`] puts them together, and [`history`] records what they observe;
-//! - [`fault`] chooses faults, as values; [`inject`] injects them into a fleet, some by [`syscall_faults`];
-//! - [`invariants`] checks the history, and [`report`] sums it up.
+//! - [`proxy`] runs the proxy processes; [`backend`], [`discovery`] and [`clients`] simulate the rest of the platform;
+//! - [`fleet`] starts and connects all of them, and [`history`] records their observations;
+//! - [`fault`] chooses faults; [`inject`] injects them into a fleet, some of them by [`syscall_faults`];
+//! - [`invariants`] checks the history, and [`report`] summarizes the result.
 
 pub mod admin;
 pub mod backend;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -13,36 +13,36 @@
 
 /// Exit code: an invariant was violated.
 const VIOLATED: u8 = 1;
-/// Exit code: the command line has to change, or a fleet could not be run.
-const USAGE: u8 = 2;
-/// Violations of a fleet that are shown.
+/// Exit code: the command line is invalid, or a fleet could not be run.
+const NOT_RUN: u8 = 2;
+/// Maximum number of violations that are printed for a fleet.
 const MAX_SHOWN_VIOLATIONS: usize = 40;
 
-/// Real proxies on loopback under overlapping faults.
+/// Runs real proxies on loopback under overlapping faults and checks their invariants.
 #[derive(Parser)]
 #[command(
     after_help = "Exit codes: 0 no invariant was violated, 1 an invariant was violated, 2 a fleet could not be run."
 )]
 struct Arguments {
-    /// The proxy.
+    /// Path of the proxy's executable.
     #[arg(long, default_value = "target/release/leadrelay")]
     program: PathBuf,
-    /// The first seed.
+    /// The first seed; each further fleet uses the next one.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, each with a fleet of its own.
+    /// Number of fleets to run, each with its own seed.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=1000))]
     fleets: u64,
-    /// How many fleets run at once, of two or three proxies each.
+    /// Number of fleets that run at the same time, each with two or three proxies.
     #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=40))]
     at_once: u64,
-    /// For how many seconds new faults are injected.
+    /// Time during which new faults are injected, in seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=3600))]
     seconds: u64,
-    /// What proxies log.
+    /// Log filter of the proxies.
     #[arg(long, default_value = "info")]
     log: String,
-    /// Where files go; without it, only those of fleets with violations are kept.
+    /// Folder for logs and other files, which are all kept; by default, only files of fleets with violations are kept.
     #[arg(long)]
     keep: Option<PathBuf>,
 }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Where files go.
+    /// Folder for the files of all fleets.
     fn folder(&self) -> std::io::Result<PathBuf> {
         match &self.keep {
             Some(folder) => std::path::absolute(folder),
@@ -77,7 +77,7 @@
         Ok(false) => ExitCode::from(VIOLATED),
         Err(error) => {
             eprintln!("leadrelay-soak: {error:#}");
-            ExitCode::from(USAGE)
+            ExitCode::from(NOT_RUN)
         }
     }
 }
@@ -85,12 +85,12 @@
 /// Runs all seeds; returns whether no invariant was violated.
 async fn run_all(arguments: &Arguments) -> anyhow::Result<bool> {
     let program = std::path::absolute(&arguments.program)?;
-    anyhow::ensure!(program.is_file(), "there is no proxy at {}", program.display());
+    anyhow::ensure!(program.is_file(), "the proxy's executable {} does not exist", program.display());
     let folder = arguments.folder()?;
     let mut seeds = arguments.seed..arguments.seed.saturating_add(arguments.fleets);
     let mut running = JoinSet::new();
     let mut finished = 0;
-    let mut with_violations = 0;
+    let mut violating_fleets = 0;
     loop {
         while (running.len() as u64) < arguments.at_once
             && let Some(seed) = seeds.next()
@@ -100,17 +100,17 @@
         }
         let Some(result) = running.join_next().await else { break };
         let (report, plan) = result?;
-        let report = report.with_context(|| format!("seed {} could not be played", plan.seed))?;
+        let report = report.with_context(|| format!("the fleet of seed {} could not be run", plan.seed))?;
         show(&plan, &report);
         finished += 1;
         if !report.violations.is_empty() {
-            with_violations += 1;
+            violating_fleets += 1;
         } else if arguments.keep.is_none() {
             remove_files(&plan)?;
         }
     }
-    println!("{finished} fleets played, {with_violations} with broken promises");
-    Ok(with_violations == 0)
+    println!("{finished} fleets run, {violating_fleets} with violated invariants");
+    Ok(violating_fleets == 0)
 }
 
 fn remove_files(plan: &Plan) -> anyhow::Result<()> {
@@ -129,7 +129,7 @@
     }
     for violation in report.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         let at = report.seconds(violation).map_or_else(String::new, |at| format!("{at:.3} s "));
-        println!("  BROKEN {:?} {at}{}", violation.invariant, violation.description);
+        println!("  VIOLATED {:?} {at}{}", violation.invariant, violation.description);
     }
     println!("  files in {}", plan.launch.folder.display());
 }
--- a/crates/soak/src/proxy/launch.rs
+++ b/crates/soak/src/proxy/launch.rs
@@ -1,4 +1,4 @@
-//! How the processes of a proxy are started.
+//! Starts the processes of a proxy.
 
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
@@ -11,46 +11,49 @@
 use crate::settings::{ProxySpec, proxy_config};
 use crate::syscall_faults::{CONTROL_FILE_VARIABLE, LIBRARY, SyscallFaults};
 
-/// Passes standard input on as descriptor 3, as the platform does: by the shell, as system calls would need unsafe code.
+/// Shell script that passes standard input on as descriptor 3, as the platform passes the listening socket. A shell
+/// does it because the system calls would need unsafe code.
 const PASS_SOCKET_SCRIPT: &str = "exec 3<&0 </dev/null; exec \"$0\" \"$@\"";
 
-/// The program, its folder and what it logs.
+/// Options for starting the processes of proxies.
 #[derive(Clone, Debug)]
 pub struct LaunchOptions {
-    /// The proxy's program.
+    /// Path of the proxy's executable.
     pub program: PathBuf,
-    /// Where logs and files go.
+    /// Folder for logs and other files.
     pub folder: PathBuf,
-    /// What proxies log.
+    /// Log filter of the proxies.
     pub log_filter: String,
 }
 
 impl LaunchOptions {
-    /// The options for one proxy of a fleet, with a folder of its own, which is created.
+    /// Returns the options for one proxy of a fleet, and creates a separate folder for it.
     pub(super) fn for_proxy(&self, index: usize) -> Result<Self, Error> {
         let folder = self.folder.join(format!("n{index}"));
         std::fs::create_dir_all(folder.join("tmp")).map_err(Error::create(&folder))?;
         Ok(LaunchOptions { folder, ..self.clone() })
     }
 
-    /// The file that holds the configuration.
+    /// Path of the configuration file.
     pub(super) fn config_file(&self) -> PathBuf {
         self.folder.join("config.json")
     }
 
-    /// The file that controls failures of system calls.
+    /// Path of the file that controls failures of system calls.
     pub(super) fn faults_file(&self) -> PathBuf {
         self.folder.join("faults")
     }
 
-    /// The file that a process's log goes to.
+    /// Path of the log file of a process.
     pub(super) fn log_file(&self, pid: i32) -> PathBuf {
         self.folder.join(format!("{pid}.log"))
     }
 
-    /// Starts a process. Its configuration file has to be there.
-    pub(super) fn spawn(&self, passed: Option<&TcpListener>, faults: &SyscallFaults) -> Result<Child, Error> {
-        let mut command = match passed {
+    /// Starts a process. The configuration file has to exist.
+    pub(super) fn spawn(
+        &self, passed_listener: Option<&TcpListener>, faults: &SyscallFaults,
+    ) -> Result<Child, Error> {
+        let mut command = match passed_listener {
             Some(listener) => command_with_socket(&self.program, listener)?,
             None => {
                 let mut command = Command::new(&self.program);
@@ -77,12 +80,12 @@
     Ok(command)
 }
 
-/// The configuration of a process after so many reloads, each of which changes the number of classes.
+/// Returns the configuration of a process after the given number of reloads. Each reload changes the number of classes.
 pub(super) fn config_after_reloads(spec: &ProxySpec, admin: SocketAddr, reloads: usize) -> String {
     proxy_config(spec, admin, fastrand::u64(..), reloads % 4).to_string()
 }
 
-/// A configuration that is cut off, each time elsewhere.
+/// Truncates a configuration, at a position that varies with the number of reloads.
 pub(super) fn broken_config(config: &str, reloads: usize) -> &str {
     &config[..config.len() * (reloads % 7) / 7]
 }
--- a/crates/soak/src/proxy/mod.rs
+++ b/crates/soak/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! One proxy of a fleet, and the processes that it runs one after another: started, terminated, killed and upgraded.
+//! One proxy of a fleet: starts, terminates, kills and upgrades its processes.
 
 mod launch;
 mod monitor;
@@ -28,63 +28,65 @@
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// A successor has to be ready within this time.
 const UPGRADE_TIMEOUT: Duration = Duration::from_secs(6);
-/// For so long after SIGTERM the platform still sends new connections.
-const FRONT_DELAY: Duration = Duration::from_millis(300);
+/// Time after SIGTERM for which the platform still sends new connections to the proxy.
+const PLATFORM_ROUTING_DELAY: Duration = Duration::from_millis(300);
 
 /// One proxy of a fleet.
 pub struct Proxy {
-    /// Its position and its addresses.
+    /// The proxy's position in the fleet and its addresses.
     pub spec: ProxySpec,
-    /// What fails in its processes.
+    /// Faults in the system calls of the proxy's processes.
     pub syscall_faults: SyscallFaults,
     options: LaunchOptions,
-    /// The platform's listening socket, if it passes one.
-    passed: Option<TcpListener>,
+    /// The listening socket that the platform passes to each process, if any.
+    passed_listener: Option<TcpListener>,
     recorder: Arc<Recorder>,
-    /// The newest last.
+    /// All processes so far, the newest last.
     processes: Mutex<Vec<Arc<Process>>>,
-    accepts: AtomicBool,
+    /// Whether the platform sends new connections to the proxy.
+    accepts_connections: AtomicBool,
     reloads: AtomicUsize,
-    /// Held while its processes are changed.
+    /// Locked while processes are started or ended, so that only one such operation runs at a time.
     lifecycle: tokio::sync::Mutex<()>,
 }
 
 impl Proxy {
-    /// A proxy without a process.
+    /// Creates a proxy without starting a process.
     ///
     /// # Errors
-    /// If its folder can't be created.
+    /// If its folder or its fault control file can't be created.
     pub fn new(
-        spec: ProxySpec, options: &LaunchOptions, passed: Option<TcpListener>, recorder: Arc<Recorder>,
+        spec: ProxySpec, options: &LaunchOptions, passed_listener: Option<TcpListener>,
+        recorder: Arc<Recorder>,
     ) -> Result<Arc<Self>, Error> {
         let options = options.for_proxy(spec.index)?;
         Ok(Arc::new(Proxy {
             spec,
             syscall_faults: SyscallFaults::new(&options.faults_file())?,
             options,
-            passed,
+            passed_listener,
             recorder,
             processes: Mutex::default(),
-            accepts: AtomicBool::new(false),
+            accepts_connections: AtomicBool::new(false),
             reloads: AtomicUsize::new(0),
             lifecycle: tokio::sync::Mutex::default(),
         }))
     }
 
-    /// Whether the platform sends it new connections.
-    pub fn accepts(&self) -> bool {
-        self.accepts.load(SeqCst)
+    /// Whether the platform sends new connections to the proxy.
+    pub fn accepts_connections(&self) -> bool {
+        self.accepts_connections.load(SeqCst)
     }
 
-    /// Whether it can be upgraded: only if its listening socket outlives a process.
+    /// Whether the proxy can be upgraded, which requires a listening socket that outlives the process.
     pub fn can_upgrade(&self) -> bool {
-        self.passed.is_some()
+        self.passed_listener.is_some()
     }
 
     /// Starts a process and waits until it is ready.
     ///
     /// # Errors
-    /// If it does not start, or is not ready in time.
+    /// If the process does not start, or is not ready in time.
     pub async fn start(&self) -> Result<(), Error> {
         let _lifecycle = self.lifecycle.lock().await;
         self.start_process().await
@@ -93,7 +95,7 @@
     async fn start_process(&self) -> Result<(), Error> {
         let process = self.spawn()?;
         self.wait_ready(&process, READY_TIMEOUT).await?;
-        self.accepts.store(true, SeqCst);
+        self.accepts_connections.store(true, SeqCst);
         Ok(())
     }
 
@@ -103,23 +105,23 @@
     /// As [`Proxy::start`].
     pub async fn restart(&self) -> Result<(), Error> {
         let _lifecycle = self.lifecycle.lock().await;
-        let Some(process) = self.newest() else { return Ok(()) };
+        let Some(process) = self.newest_running() else { return Ok(()) };
         self.record(ProcessEvent::Terminated);
         process.terminate();
-        sleep(FRONT_DELAY).await;
-        self.accepts.store(false, SeqCst);
+        sleep(PLATFORM_ROUTING_DELAY).await;
+        self.accepts_connections.store(false, SeqCst);
         self.wait_for_exit(&process).await;
         self.start_process().await
     }
 
-    /// Kills all processes, and starts another one some time later.
+    /// Kills all processes, and starts another one after the given time.
     ///
     /// # Errors
     /// As [`Proxy::start`].
     pub async fn kill(&self, down_time: Duration) -> Result<(), Error> {
         let _lifecycle = self.lifecycle.lock().await;
         let processes = self.processes().clone();
-        self.accepts.store(false, SeqCst);
+        self.accepts_connections.store(false, SeqCst);
         self.record(ProcessEvent::Killed);
         for process in processes.iter().filter(|process| process.is_running()) {
             process.kill();
@@ -128,13 +130,13 @@
         self.start_process().await
     }
 
-    /// Starts a successor beside the process, and terminates that one once the successor is ready.
+    /// Starts a successor while the current process runs, and terminates the predecessor once the successor is ready.
     ///
     /// # Errors
     /// As [`Proxy::start`].
     pub async fn upgrade(&self) -> Result<(), Error> {
         let _lifecycle = self.lifecycle.lock().await;
-        let Some(old) = self.newest() else { return Ok(()) };
+        let Some(old) = self.newest_running() else { return Ok(()) };
         let new = self.spawn()?;
         self.wait_ready(&new, UPGRADE_TIMEOUT).await?;
         self.record(ProcessEvent::Terminated);
@@ -148,7 +150,7 @@
     /// # Errors
     /// If the file can't be written.
     pub async fn reload(&self, broken: bool) -> io::Result<()> {
-        let Some(process) = self.newest() else { return Ok(()) };
+        let Some(process) = self.newest_running() else { return Ok(()) };
         let reloads = self.reloads.fetch_add(1, SeqCst);
         let config = self.config(process.admin);
         let text = if broken { broken_config(&config, reloads) } else { &config };
@@ -157,26 +159,26 @@
         Ok(())
     }
 
-    /// Stops the process for a while, without its knowledge.
+    /// Stops the newest process for a while by SIGSTOP, which a process can't notice.
     pub async fn pause(&self, duration: Duration) {
-        let Some(process) = self.newest() else { return };
+        let Some(process) = self.newest_running() else { return };
         process.signal(Signal::STOP);
         sleep(duration).await;
         process.signal(Signal::CONT);
     }
 
-    /// Makes a call to the admin address of the newest process.
+    /// Makes a call to the admin address of the newest running process.
     ///
     /// # Errors
-    /// If there is none, or it does not answer.
+    /// If no process is running, or it does not respond.
     pub async fn call(&self, method_and_path: &str) -> io::Result<(u16, String)> {
-        let process = self.newest().ok_or(io::ErrorKind::NotConnected)?;
+        let process = self.newest_running().ok_or(io::ErrorKind::NotConnected)?;
         admin::call(process.admin, method_and_path).await
     }
 
-    /// Kills all processes at the end of a run.
+    /// Kills all processes, at the end of a run.
     pub fn stop(&self) {
-        self.accepts.store(false, SeqCst);
+        self.accepts_connections.store(false, SeqCst);
         for process in self.processes().iter() {
             process.kill();
         }
@@ -186,7 +188,8 @@
         self.processes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn newest(&self) -> Option<Arc<Process>> {
+    /// The newest process that has not exited.
+    fn newest_running(&self) -> Option<Arc<Process>> {
         self.processes().iter().rev().find(|process| process.is_running()).cloned()
     }
 
@@ -201,7 +204,7 @@
     fn spawn(&self) -> Result<Arc<Process>, Error> {
         let admin = free_address()?;
         std::fs::write(self.options.config_file(), self.config(admin))?;
-        let mut child = self.options.spawn(self.passed.as_ref(), &self.syscall_faults)?;
+        let mut child = self.options.spawn(self.passed_listener.as_ref(), &self.syscall_faults)?;
         let pid = child.id().and_then(|pid| Pid::from_raw(pid as i32));
         let pid = pid.ok_or(Error::ExitedEarly { proxy: self.spec.index })?;
         self.record(ProcessEvent::Started);
@@ -223,7 +226,7 @@
         Ok(())
     }
 
-    /// Waits until a terminated process has exited; kills it when that takes too long.
+    /// Waits until a terminated process has exited; kills the process if that takes too long.
     async fn wait_for_exit(&self, process: &Process) {
         if process.exit_or_kill().await {
             self.record(ProcessEvent::Killed);
@@ -231,10 +234,10 @@
     }
 }
 
-/// An address on loopback that is free at present.
+/// Returns a loopback address whose port is currently free.
 ///
 /// # Errors
-/// If there is none.
+/// If no port is free.
 pub fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
--- a/crates/soak/src/proxy/monitor.rs
+++ b/crates/soak/src/proxy/monitor.rs
@@ -1,4 +1,4 @@
-//! Watches a process from outside: its log, its exit and what it holds.
+//! Monitors a process from outside: its log, its exit, its descriptors and its memory.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -12,14 +12,14 @@
 use crate::history::{ProcessEvent, Recorder};
 use crate::settings::MAX_DESCRIPTORS;
 
-/// Between checks of what a process holds.
+/// Interval between checks of a process's descriptors and memory.
 const LIMIT_CHECK_PERIOD: Duration = Duration::from_millis(250);
-/// Memory that a proxy may hold, in kB.
+/// Limit on the resident memory of a proxy process, in kB.
 const MAX_MEMORY_KB: usize = 64_000;
 /// Parts of log lines that report a defect of the proxy.
 const DEFECT_MESSAGES: [&str; 3] = ["an invariant is violated", "breaks an invariant", "panicked"];
 
-/// Watches one process.
+/// Monitors one process.
 pub(super) struct Monitor {
     pub(super) proxy: usize,
     pub(super) process: Arc<Process>,
@@ -27,7 +27,7 @@
 }
 
 impl Monitor {
-    /// Watches until the process exits.
+    /// Checks the limits until the process exits, then records how it exited.
     pub(super) async fn watch(self, mut child: Child) {
         let status = loop {
             tokio::select! {
@@ -35,7 +35,7 @@
                 () = sleep(LIMIT_CHECK_PERIOD) => self.check_limits(),
             }
         };
-        let event = self.process.exited(status);
+        let event = self.process.mark_exited(status);
         self.recorder.record_process(self.proxy, event);
     }
 
@@ -55,7 +55,7 @@
     let Ok(mut file) = tokio::fs::File::create(path).await else { return };
     let mut lines = BufReader::new(log).lines();
     while let Ok(Some(line)) = lines.next_line().await {
-        let _ = file.write_all(format!("{line}\n").as_bytes()).await; // a lost log line is no violation
+        let _ = file.write_all(format!("{line}\n").as_bytes()).await; // a lost log line is not a violation
         if DEFECT_MESSAGES.iter().any(|message| line.contains(message)) {
             recorder.record_process(proxy, ProcessEvent::Logged(line));
         }
--- a/crates/soak/src/proxy/process.rs
+++ b/crates/soak/src/proxy/process.rs
@@ -14,20 +14,20 @@
 use crate::history::ProcessEvent;
 use crate::settings::MAX_DEADLINE;
 
-/// SIGKILL follows SIGTERM after the longest deadline and this time.
+/// Time beyond the longest deadline that a process may take to exit after SIGTERM, before SIGKILL is sent.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// Between checks whether a process has exited.
+/// Interval between checks whether a process has exited.
 const EXIT_CHECK_PERIOD: Duration = Duration::from_millis(5);
-/// Between health checks of a process that starts.
+/// Interval between health checks of a starting process.
 const READY_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// A process that runs or has exited.
+/// A process that is running or has exited.
 pub(super) struct Process {
     pub(super) pid: Pid,
     pub(super) admin: SocketAddr,
-    /// Whether it was sent SIGTERM.
+    /// Whether SIGTERM was sent.
     terminated: AtomicBool,
-    /// Whether it was sent SIGKILL.
+    /// Whether SIGKILL was sent.
     killed: AtomicBool,
     exited: AtomicBool,
 }
@@ -45,7 +45,7 @@
 
     pub(super) fn signal(&self, signal: Signal) {
         if self.is_running() {
-            let _ = kill_process(self.pid, signal); // it may have exited just now
+            let _ = kill_process(self.pid, signal); // fails if the process has just exited
         }
     }
 
@@ -63,7 +63,7 @@
         !self.exited.load(SeqCst)
     }
 
-    /// Waits for its exit after SIGTERM and kills it when that takes too long. Returns whether it had to be killed.
+    /// Waits for the process to exit after SIGTERM and kills it if that takes too long. Returns whether it was killed.
     pub(super) async fn exit_or_kill(&self) -> bool {
         let end = Instant::now() + MAX_DEADLINE + KILL_GRACE;
         while self.is_running() && Instant::now() < end {
@@ -76,7 +76,7 @@
         is_late
     }
 
-    /// Waits until its health check succeeds.
+    /// Waits until the health check succeeds.
     pub(super) async fn wait_ready(&self, proxy: usize, timeout: Duration) -> Result<(), Error> {
         let end = Instant::now() + timeout;
         while Instant::now() < end {
@@ -91,8 +91,8 @@
         Err(Error::NotReady { proxy, timeout })
     }
 
-    /// Takes its exit; returns whether that was requested or a crash.
-    pub(super) fn exited(&self, status: io::Result<ExitStatus>) -> ProcessEvent {
+    /// Marks the process as exited; returns the event that tells a requested exit from a crash.
+    pub(super) fn mark_exited(&self, status: io::Result<ExitStatus>) -> ProcessEvent {
         self.exited.store(true, SeqCst);
         if self.killed.load(SeqCst) {
             return ProcessEvent::Ended;
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -9,26 +9,26 @@
 /// The result of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// What was violated.
+    /// Violated invariants.
     pub violations: Vec<Violation>,
-    /// Counts, by name.
+    /// Number of attempts, of requests, and of requests by outcome.
     pub counts: BTreeMap<&'static str, usize>,
-    /// Injected faults.
+    /// Injected faults, in the order of their start.
     pub faults: Vec<ReportedFault>,
     first_fault_at: Option<Instant>,
 }
 
-/// A fault as the report tells it.
+/// A fault as it appears in the report.
 #[derive(Clone, Debug)]
 pub struct ReportedFault {
-    /// When it began, since the first fault.
+    /// Start of the fault, counted from the start of the first fault.
     pub offset: Duration,
-    /// What it was.
+    /// Description of the fault.
     pub description: String,
 }
 
 impl Report {
-    /// Sums a run up.
+    /// Summarizes a run.
     pub fn new(history: &History, violations: Vec<Violation>) -> Self {
         let first_fault_at = history.faults.first().map(|fault| fault.at);
         let faults = history.faults.iter().map(|fault| ReportedFault {
@@ -38,20 +38,20 @@
         Report { violations, counts: counts(history), faults: faults.collect(), first_fault_at }
     }
 
-    /// Adds violations that the proxies counted themselves.
-    pub fn add_own_violations(&mut self, lines: Vec<String>) {
+    /// Adds violations that the proxies reported themselves.
+    pub fn add_self_reported_violations(&mut self, lines: Vec<String>) {
         for description in lines {
             self.violations.push(Violation { invariant: Invariant::OwnInvariants, at: None, description });
         }
     }
 
-    /// Adds that the fleet itself failed.
+    /// Adds a failure of the fleet itself.
     pub fn add_failure(&mut self, description: &str) {
         let description = description.to_owned();
         self.violations.push(Violation { invariant: Invariant::Processes, at: None, description });
     }
 
-    /// When a violation happened, in seconds since the first fault.
+    /// Time of a violation, in seconds since the first fault.
     pub fn seconds(&self, violation: &Violation) -> Option<f64> {
         let at = violation.at?;
         let start = self.first_fault_at?;
@@ -74,11 +74,11 @@
 fn outcome_name(outcome: Option<&RequestOutcome>) -> &'static str {
     match outcome {
         Some(RequestOutcome::Answered { status: 200, .. }) => "served",
-        Some(RequestOutcome::Answered { status: 429 | 503, .. }) => "refused",
+        Some(RequestOutcome::Answered { status: 429 | 503, .. }) => "rejected",
         Some(RequestOutcome::Answered { .. }) => "failed",
         Some(RequestOutcome::Broken { .. }) => "broken",
         Some(RequestOutcome::Closed { .. }) => "closed",
         Some(RequestOutcome::Unanswered) => "unanswered",
-        None => "left or open",
+        None => "cancelled or open",
     }
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -16,29 +16,30 @@
 use crate::proxy::LaunchOptions;
 use crate::report::Report;
 
-/// Without faults, before the first one and after the last.
+/// Time without faults before the first fault and after the last one.
 const QUIET_PERIOD: Duration = Duration::from_millis(2500);
-/// Longest time between the starts of two faults of one group.
+/// Maximum time between the starts of two consecutive faults of a group.
 const MAX_FAULT_OFFSET: Duration = Duration::from_millis(700);
-/// Between one group of faults and the next.
+/// Pause between one group of faults and the next.
 const GROUP_PERIOD: Duration = Duration::from_millis(2500);
-/// All faults have to end within this time after the last group.
+/// Time within which all faults have to end after the last group.
 const FAULT_TIMEOUT: Duration = Duration::from_secs(40);
-/// Between checks whether this process itself is scheduled late.
+/// Interval between checks whether this process itself is scheduled late.
 const DELAY_CHECK_PERIOD: Duration = Duration::from_millis(10);
-/// Shorter delays of this process are not recorded.
+/// Minimum delay of this process that is recorded.
 const MIN_RECORDED_DELAY: Duration = Duration::from_millis(15);
-/// The metric by which a proxy counts its own violations.
+/// The metric with which a proxy counts the violations that it detects itself.
 const VIOLATIONS_METRIC: &str = "leadrelay_invariant_violations_total";
 
-/// What to run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The only source of which faults are injected and when. What follows from them on real sockets differs between runs.
+    /// Seed that alone determines which faults are injected and when. Their effects on real sockets differ between
+    /// runs.
     pub seed: u64,
-    /// For how long new faults are injected.
+    /// Time during which new faults are injected.
     pub duration: Duration,
-    /// How proxies are started.
+    /// Options for starting proxies.
     pub launch: LaunchOptions,
 }
 
@@ -55,10 +56,10 @@
     let faults_result = inject_faults(&fleet, plan.duration, &mut rng).await;
     sleep(QUIET_PERIOD).await;
     clients.abort_all();
-    let mut own_violations = Vec::new();
+    let mut self_reported_violations = Vec::new();
     for proxy in &fleet.proxies {
         if let Ok((200, metrics)) = proxy.call("GET /metrics").await {
-            own_violations.extend(violations_in(&metrics));
+            self_reported_violations.extend(violation_lines(&metrics));
         }
         proxy.stop();
     }
@@ -66,15 +67,15 @@
     let history = fleet.recorder.history();
     let violations = invariants::check(&history, &fleet.backends);
     let mut report = Report::new(&history, violations);
-    report.add_own_violations(own_violations);
+    report.add_self_reported_violations(self_reported_violations);
     if let Err(error) = faults_result {
         report.add_failure(&error.to_string());
     }
     Ok(report)
 }
 
-/// Lines of a proxy's metrics by which it reports violations of its own.
-fn violations_in(metrics: &str) -> Vec<String> {
+/// Returns the metrics lines in which a proxy reports violations that it detected itself.
+fn violation_lines(metrics: &str) -> Vec<String> {
     let lines = metrics.lines().filter(|line| line.starts_with(VIOLATIONS_METRIC));
     lines.filter(|line| !line.ends_with(" 0")).map(str::to_owned).collect()
 }
@@ -95,7 +96,8 @@
     })
 }
 
-/// Injects groups of faults, one after another. The order of the draws is part of the plan.
+/// Injects groups of faults, one after another. The order of the random draws must not change: a seed has to give the
+/// same faults in each run.
 async fn inject_faults(fleet: &Arc<Fleet>, duration: Duration, rng: &mut Rng) -> Result<(), Error> {
     let end = Instant::now() + duration;
     let mut running = JoinSet::new();
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,11 +1,11 @@
-//! The settings of a small fleet, and the configuration that its proxies get.
+//! The settings of a small fleet, and the configuration of its proxies.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-/// A class of requests, by whether a request may run more than once.
+/// A class of requests. Classes differ in whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestClass {
     /// Idempotent.
@@ -17,10 +17,10 @@
 }
 
 impl RequestClass {
-    /// All of them.
+    /// All classes.
     pub const ALL: [RequestClass; 3] = [RequestClass::Read, RequestClass::Booking, RequestClass::Submit];
 
-    /// Its name in paths and settings.
+    /// Name of the class in paths and settings.
     pub fn name(self) -> &'static str {
         match self {
             RequestClass::Read => "read",
@@ -40,35 +40,35 @@
 pub const MAX_DESCRIPTORS: usize = 512;
 /// How long a new backend is in slow start.
 pub const SLOW_START: Duration = Duration::from_millis(8700);
-/// The part of its capacity that a new backend has at first.
+/// Fraction of its capacity that a new backend has at the beginning of slow start.
 pub const SLOW_START_MIN_CAPACITY: f64 = 0.3;
 /// A backend in slow start is overloaded by more than this multiple of its capacity within [`OVERLOAD_WINDOW`].
 pub const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// The window over which the load of a backend in slow start is counted.
 pub const OVERLOAD_WINDOW: Duration = Duration::from_millis(1500);
 
-/// The part of its capacity that a backend has at an age, while it is in slow start.
+/// Fraction of its capacity that a backend has at the given age: it rises linearly during slow start, then stays at 1.
 pub fn slow_start_factor(age: Duration) -> f64 {
     let progress = (age.as_secs_f64() / SLOW_START.as_secs_f64()).min(1.0);
     SLOW_START_MIN_CAPACITY + (1.0 - SLOW_START_MIN_CAPACITY) * progress
 }
 
-/// A proxy's position in the fleet and the addresses that it is given.
+/// A proxy's position in the fleet and its addresses.
 #[derive(Clone, Debug)]
 pub struct ProxySpec {
-    /// Its index in the fleet.
+    /// Index of the proxy in the fleet.
     pub index: usize,
-    /// How many proxies the fleet has.
+    /// Number of proxies in the fleet.
     pub proxy_count: usize,
-    /// For clients.
+    /// Address on which the proxy listens for clients.
     pub listen: SocketAddr,
-    /// Its own discovery.
+    /// Address of the discovery listener that serves only this proxy.
     pub discovery: SocketAddr,
     /// Gossip addresses of both proxies, if gossip is enabled.
     pub peers: Option<[SocketAddr; 2]>,
 }
 
-/// The configuration of a process, as the operators' JSON.
+/// Returns the configuration of a process, in the JSON format that operators use.
 pub fn proxy_config(spec: &ProxySpec, admin: SocketAddr, seed: u64, extra_classes: usize) -> Value {
     let mut config = json!({
         "name": format!("n{}", spec.index), "listen": spec.listen, "admin_addr": admin,
@@ -90,7 +90,7 @@
     config
 }
 
-/// The classes of requests, and more that no client uses.
+/// Returns the settings of all classes, and of additional classes that no client uses.
 fn classes(extra: usize) -> Vec<Value> {
     let mut classes = vec![
         class(RequestClass::Read.name(), "idempotent"),
--- a/crates/soak/src/syscall_faults.rs
+++ b/crates/soak/src/syscall_faults.rs
@@ -1,4 +1,4 @@
-//! Controls the library that is loaded into a proxy and makes its system calls fail (`shim/faults.rs`).
+//! Controls the library that is preloaded into a proxy and makes its system calls fail (`shim/faults.rs`).
 
 use std::fs::File;
 use std::os::unix::fs::FileExt as _;
@@ -7,17 +7,17 @@
 
 use crate::error::Error;
 
-/// The path of the library, for `LD_PRELOAD`.
+/// Path of the library, for `LD_PRELOAD`.
 pub const LIBRARY: &str = env!("FAULTS_LIBRARY");
-/// The environment variable that names the file which the library reads.
+/// Environment variable with the path of the control file, which the library reads.
 pub const CONTROL_FILE_VARIABLE: &str = "LEADRELAY_FAULTS";
 
-/// Bytes of the file: one page, which the library maps.
+/// Size of the control file in bytes: one page, which the library maps.
 const FILE_SIZE: u64 = 4096;
-/// Bytes of a field.
+/// Size of a field in bytes.
 const FIELD_SIZE: u64 = 8;
 
-/// A field of the file, by its position. The library has the same list.
+/// A field of the control file, in the order of the file. The library has the same list.
 #[derive(Clone, Copy)]
 enum Field {
     ClockOffsetNs,
@@ -33,41 +33,41 @@
 /// An error of a system call, by its number on Linux.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Errno {
-    /// Input or output has failed.
+    /// EIO: input or output failed.
     Io = 5,
-    /// The system has no descriptor left.
+    /// ENFILE: the operating system has no file descriptor left.
     TooManyFiles = 23,
-    /// There is no space left.
+    /// ENOSPC: no space is left on the device.
     NoSpace = 28,
-    /// No port is free.
+    /// EADDRNOTAVAIL: no local port is free.
     AddressNotAvailable = 99,
-    /// The network is unreachable.
+    /// ENETUNREACH: the network is unreachable.
     NetworkUnreachable = 101,
-    /// The connection was aborted before it was accepted.
+    /// ECONNABORTED: the connection was aborted before it was accepted.
     ConnectionAborted = 103,
-    /// The system has no buffer.
+    /// ENOBUFS: the operating system has no buffer space left.
     NoBuffers = 105,
 }
 
-/// Which socket calls fail, and how.
+/// The errors that socket calls return; a call without an error does not fail.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SocketErrors {
-    /// Of `accept4`.
+    /// Error of `accept4`.
     pub accept: Option<Errno>,
-    /// Of `socket`.
+    /// Error of `socket`.
     pub socket: Option<Errno>,
-    /// Of `connect`.
+    /// Error of `connect`.
     pub connect: Option<Errno>,
 }
 
-/// What fails in the processes of one proxy.
+/// The faults in the system calls of one proxy's processes, written to its control file.
 pub struct SyscallFaults {
     path: PathBuf,
     file: File,
 }
 
 impl SyscallFaults {
-    /// Creates the file; nothing fails yet.
+    /// Creates the control file, with no faults active.
     ///
     /// # Errors
     /// If the file can't be created.
@@ -78,18 +78,18 @@
         Ok(SyscallFaults { path: path.to_owned(), file })
     }
 
-    /// The path of the file.
+    /// Path of the control file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Sets by how many seconds the wall clock is ahead of the true one.
+    /// Sets the offset of the wall clock from the true time, in seconds; positive is ahead.
     pub fn step_clock(&self, seconds: i64) {
         let offset = seconds * i64::try_from(Duration::from_secs(1).as_nanos()).unwrap_or(0);
         self.set(Field::ClockOffsetNs, offset as u64);
     }
 
-    /// Makes a part of the socket calls fail.
+    /// Makes the given percentage of socket calls fail.
     pub fn fail_sockets(&self, errors: SocketErrors, percent: u64) {
         self.set(Field::FailingPercent, percent);
         self.set_errno(Field::AcceptErrno, errors.accept);
@@ -97,19 +97,19 @@
         self.set_errno(Field::ConnectErrno, errors.connect);
     }
 
-    /// Makes the files of the handover fail to open, a part of the times.
+    /// Makes the given percentage of opens of handover files fail.
     pub fn fail_files(&self, errno: Errno, percent: u64) {
         self.set(Field::FailingPercent, percent);
         self.set_errno(Field::FileErrno, Some(errno));
     }
 
-    /// Interrupts a part of the calls, and cuts a part of the reads and writes short.
+    /// Interrupts a percentage of the calls, and cuts a percentage of the reads and writes short.
     pub fn interrupt(&self, interrupted_percent: u64, short_percent: u64) {
         self.set(Field::InterruptedPercent, interrupted_percent);
         self.set(Field::ShortPercent, short_percent);
     }
 
-    /// Ends all failures. The clock stays as it is.
+    /// Ends all failures. The offset of the clock stays unchanged.
     pub fn clear(&self) {
         self.fail_sockets(SocketErrors::default(), 0);
         self.interrupt(0, 0);
@@ -121,7 +121,7 @@
     }
 
     fn set(&self, field: Field, value: u64) {
-        // The file is held open by this process, so that writing to it does not fail.
+        // This process keeps the file open, so writing to it does not fail.
         let _ = self.file.write_all_at(&value.to_ne_bytes(), field as u64 * FIELD_SIZE);
     }
 }
--- a/crates/soak/tests/invariants.rs
+++ b/crates/soak/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! The checks must be able to fail: each invariant is violated on purpose in a history, and the violation is found.
+//! Tests that the invariant checks can fail: each invariant is violated on purpose in a history, and the check has to
+//! find the violation.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,7 +14,7 @@
 
 const BACKENDS: usize = 4;
 
-/// A change of a history without violations, whose requests begin at the given time.
+/// A change to a history without violations, whose requests begin at the given time.
 type Change = fn(&mut History, Instant);
 
 fn ms(count: u64) -> Duration {
@@ -40,14 +41,14 @@
         backend,
         process: 0,
         started_at: at,
-        queued: false,
+        may_have_queued: false,
         received_at: Some(at),
         timeout: Some(0.9),
-        ran: true,
+        may_have_run: true,
     }
 }
 
-/// One request of each class, each served by one attempt.
+/// Returns a history with one request of each class, each served by one attempt.
 fn history_without_violations(at: Instant) -> History {
     let mut history = History::default();
     for (number, class) in RequestClass::ALL.into_iter().enumerate() {
@@ -62,7 +63,7 @@
     let mut backends = Vec::new();
     for number in 0..BACKENDS {
         let backend = Backend::start(number, number / 2, 1.0, Arc::<Recorder>::default()).await;
-        backends.push(backend.expect("a port"));
+        backends.push(backend.expect("a port is free"));
     }
     backends
 }
@@ -75,7 +76,7 @@
 }
 
 fn request_in<'a>(history: &'a mut History, id: &str) -> &'a mut Request {
-    history.requests.get_mut(id).expect("a request of that id")
+    history.requests.get_mut(id).expect("the history contains the request")
 }
 
 fn out_of_service(proxy: Option<usize>, since: Instant, until: Option<Instant>) -> OutOfService {
@@ -86,11 +87,13 @@
     ProcessRecord { proxy: 0, at, event }
 }
 
+/// Guards against checks that report violations where there are none.
 #[tokio::test]
 async fn history_without_violations_passes() {
     assert_eq!(violated_after(|_, _| {}).await, []);
 }
 
+/// Guards against checks that miss violations: each case changes the history so that one invariant is violated.
 #[tokio::test]
 async fn each_violated_invariant_is_found() {
     let cases: [(Invariant, Change); 13] = [
@@ -135,6 +138,8 @@
     }
 }
 
+/// Guards against checks that are too strict: each case adds an event that the invariants allow, such as a request that
+/// is lost when its proxy is killed.
 #[tokio::test]
 async fn allowed_exceptions_are_no_violations() {
     let cases: [Change; 6] = [
@@ -143,7 +148,7 @@
             history.processes.push(process_record(at + ms(20), ProcessEvent::Killed));
         },
         |history, at| {
-            // A request that crosses the close of a connection between requests.
+            // The proxy closes an idle connection while the client sends a request on it.
             request_in(history, "r-0").connection_reused = true;
             request_in(history, "r-0").outcome = Some(RequestOutcome::Closed { at });
             history.attempts.remove(0);
@@ -151,7 +156,7 @@
         |history, at| history.attempts.push(attempt("r-0", 3, at + ms(60))),
         |history, at| history.attempts.push(attempt("r-1", 0, at + ms(60))),
         |history, at| {
-            history.attempts[2].ran = false;
+            history.attempts[2].may_have_run = false;
             history.attempts.push(attempt("r-2", 3, at + ms(60)));
         },
         |history, at| {
@@ -164,8 +169,9 @@
     }
 }
 
+/// Guards against a slow start limit without its margin for random variation, which depends on the number of requests.
 #[test]
-fn slow_start_limit_allows_for_chance() {
+fn slow_start_limit_allows_for_random_variation() {
     assert_eq!(slow_start_limit(25.0), 25.0 + 15.0 + 3.0);
     assert_eq!(slow_start_limit(100.0), 122.0);
 }
