--- a/crates/cli/tests/system_errors.rs
+++ b/crates/cli/tests/system_errors.rs
@@ -37,7 +37,7 @@
     fn start_with_config(discovery: Discovery, text: &str, seconds_ahead: i64) -> Self {
         let file = config_file(text);
         let faults = SyscallFaults::new(&file.with_extension("faults")).expect("a file");
-        faults.step_clock(seconds_ahead);
+        faults.set_clock_offset(seconds_ahead);
         let mut command = Command::new(env!("CARGO_BIN_EXE_leadrelay"));
         command
             .arg("serve")
@@ -81,7 +81,7 @@
     let old = Backend::new(Reply::Write(ok("old")));
     let new = Backend::new(Reply::Write(ok("new")));
     let mut proxy = FaultyProxy::start(&[host("s-0", old.address, "up", 0)]);
-    proxy.faults.step_clock(step_seconds);
+    proxy.faults.set_clock_offset(step_seconds);
     std::thread::sleep(Duration::from_millis(300)); // the proxy runs on for a while before anything is published
     proxy.publish(host("s-1", new.address, "up", unix_ms(step_seconds)));
     wait_for("two backends", || proxy.process.stat("/members") == 2);
@@ -160,10 +160,10 @@
         proxy.publish(new_entry);
     }
     wait_for("two backends", || proxy.process.stat("/members") == 2);
-    proxy.faults.step_clock(0);
+    proxy.faults.set_clock_offset(0);
     wait_for("slow start", || proxy.members("cold") == Some(1));
     wait_for("the end of slow start", || proxy.members("cold") == Some(0));
-    proxy.faults.step_clock(-2 * HOUR);
+    proxy.faults.set_clock_offset(-2 * HOUR);
     std::thread::sleep(Duration::from_millis(300)); // until the proxy has seen the step
     assert_eq!(proxy.members("cold"), Some(0), "the proxy knows that neither backend has just started");
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -77,7 +77,7 @@
     pub fn step_wall_clock(&self, seconds: i64) {
         let offset = self.clock_offset_s.fetch_add(seconds, SeqCst) + seconds;
         for proxy in &self.proxies {
-            proxy.syscall_faults.step_clock(offset);
+            proxy.syscall_faults.set_clock_offset(offset);
         }
     }
 
--- a/crates/soak/src/syscall_faults.rs
+++ b/crates/soak/src/syscall_faults.rs
@@ -84,7 +84,7 @@
     }
 
     /// Sets the offset of the wall clock from the true time, in seconds; positive is ahead.
-    pub fn step_clock(&self, seconds: i64) {
+    pub fn set_clock_offset(&self, seconds: i64) {
         let offset = seconds * i64::try_from(Duration::from_secs(1).as_nanos()).unwrap_or(0);
         self.set(Field::ClockOffsetNs, offset as u64);
     }
