--- a/crates/cli/tests/system_errors.rs
+++ b/crates/cli/tests/system_errors.rs
@@ -5,7 +5,9 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use leadrelay_soak::syscall_faults::{CONTROL_FILE_VARIABLE, Errno, LIBRARY, SocketErrors, SyscallFaults};
+use leadrelay_soak::syscall_faults::{
+    CONTROL_FILE_VARIABLE, Errno, FAULTS_LIBRARY, SocketErrors, SyscallFaults,
+};
 use sockets::*;
 
 /// A proxy whose system calls can be made to fail, and whose wall clock can be stepped.
@@ -42,7 +44,7 @@
         command
             .arg("serve")
             .env("NODE_CONFIG", &file)
-            .env("LD_PRELOAD", LIBRARY)
+            .env("LD_PRELOAD", FAULTS_LIBRARY)
             .env(CONTROL_FILE_VARIABLE, faults.path());
         let child = command.stderr(Stdio::piped()).spawn().expect("the proxy starts");
         let process = Proxy::from_child(child, file);
--- a/crates/soak/src/proxy/launch.rs
+++ b/crates/soak/src/proxy/launch.rs
@@ -9,7 +9,7 @@
 
 use crate::error::Error;
 use crate::settings::{ProxySpec, proxy_config};
-use crate::syscall_faults::{CONTROL_FILE_VARIABLE, LIBRARY, SyscallFaults};
+use crate::syscall_faults::{CONTROL_FILE_VARIABLE, FAULTS_LIBRARY, SyscallFaults};
 
 /// Shell script that passes standard input on as descriptor 3, as the platform passes the listening socket. A shell
 /// does it because the system calls would need unsafe code.
@@ -64,7 +64,7 @@
         command.args(["serve", "--log", &self.log_filter]);
         command.env("NODE_CONFIG", self.config_file());
         command.env("TMPDIR", self.folder.join("tmp"));
-        command.env("LD_PRELOAD", LIBRARY);
+        command.env("LD_PRELOAD", FAULTS_LIBRARY);
         command.env(CONTROL_FILE_VARIABLE, faults.path());
         command.stderr(Stdio::piped());
         command.kill_on_drop(true);
--- a/crates/soak/src/syscall_faults.rs
+++ b/crates/soak/src/syscall_faults.rs
@@ -8,7 +8,7 @@
 use crate::error::Error;
 
 /// Path of the library, for `LD_PRELOAD`.
-pub const LIBRARY: &str = env!("FAULTS_LIBRARY");
+pub const FAULTS_LIBRARY: &str = env!("FAULTS_LIBRARY");
 /// Environment variable with the path of the control file, which the library reads.
 pub const CONTROL_FILE_VARIABLE: &str = "LEADRELAY_FAULTS";
 
