--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -74,7 +74,7 @@
 fn outcome_name(outcome: Option<&RequestOutcome>) -> &'static str {
     match outcome {
         Some(RequestOutcome::Answered { status: 200, .. }) => "served",
-        Some(RequestOutcome::Answered { status: 429 | 503, .. }) => "rejected",
+        Some(RequestOutcome::Answered { status: 429 | 503, .. }) => "refused",
         Some(RequestOutcome::Answered { .. }) => "failed",
         Some(RequestOutcome::Broken { .. }) => "broken",
         Some(RequestOutcome::Closed { .. }) => "closed",
