--- a/crates/cli/src/ctl/table.rs
+++ b/crates/cli/src/ctl/table.rs
@@ -26,7 +26,7 @@
 fn totals(stats: &Value) -> Table {
     let mut table = Table::new();
     table.load_preset(ASCII_MARKDOWN);
-    table.set_header(["statistic", "value"]);
+    table.set_header(["figure", "now"]);
     for (name, value) in stats.as_object().unwrap_or(&Map::new()) {
         if !value.is_object() {
             table.add_row([name.replace('_', " "), value.to_string()]);
