--- a/crates/simulator/src/adapter/decode.rs
+++ b/crates/simulator/src/adapter/decode.rs
@@ -1,4 +1,4 @@
-//! Reads the lines that an adapter writes: actions of a proxy.
+//! Parses the lines that an adapter writes: one action of a proxy per line.
 
 use std::collections::HashMap;
 
@@ -6,7 +6,7 @@
 use base64::engine::general_purpose::STANDARD as BASE64;
 use leadrelay_core::{Action, CallId, EndpointId, RejectionReason, RequestId};
 
-/// The fields of a line.
+/// The `key=value` fields of a line, separated by tabs.
 struct Fields<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Fields<'a> {
@@ -22,7 +22,7 @@
         self.text(key)?.parse().ok()
     }
 
-    /// The number of a name that consists of a prefix and a number.
+    /// Returns the number in a field whose value is `prefix` followed by a number.
     fn id(&self, key: &str, prefix: &str) -> Option<u64> {
         self.text(key)?.strip_prefix(prefix)?.parse().ok()
     }
@@ -32,7 +32,7 @@
     }
 }
 
-/// The action of a line; `None` for what has no meaning in this simulator.
+/// Parses a line into an action; returns `None` for a line that is malformed or has no counterpart in this simulator.
 pub(super) fn action(line: &str) -> Option<Action> {
     let (name, rest) = line.split_once('\t')?;
     let fields = Fields::parse(rest);
@@ -55,7 +55,7 @@
         "SAY" => BASE64.decode(fields.text("msg")?).ok().map(Action::Broadcast),
         "SUBSCRIBE" => Some(Action::Subscribe { call: CallId(0), after: None }),
         unknown => {
-            eprintln!("the adapter says {unknown}: {rest}");
+            eprintln!("unknown action from the adapter: {unknown}: {rest}");
             None
         }
     }
--- a/crates/simulator/src/adapter/encode.rs
+++ b/crates/simulator/src/adapter/encode.rs
@@ -1,4 +1,4 @@
-//! Writes the lines that an adapter reads: settings and events of a proxy.
+//! Encodes the settings and events of a proxy as the lines that an adapter reads.
 
 use std::fmt::Write as _;
 
@@ -14,11 +14,11 @@
 use crate::settings::{DEDUPLICATION_WINDOW, MAX_ATTEMPTS};
 use crate::workload::Workload;
 
-/// The lowest bits of a seed, which the wire's numbers can't hold.
+/// Number of lowest bits dropped from a seed, because the numbers of the adapter protocol can't hold all 64 bits.
 const SEED_BITS_DROPPED: u32 = 11;
 
-/// The line that introduces a proxy with its settings.
-pub(super) fn introduction(workload: &Workload, proxy: ProxyIndex, seed: u64) -> String {
+/// Builds the first line for a proxy, which starts the proxy with its settings.
+pub(super) fn setup_line(workload: &Workload, proxy: ProxyIndex, seed: u64) -> String {
     let scenario = &workload.scenario;
     let tenants = scenario.tenants.iter().zip(workload.tenant_quotas.iter());
     let accounts: Vec<_> =
@@ -70,7 +70,7 @@
     })
 }
 
-/// Writes the events of one proxy.
+/// Encodes the events of one proxy.
 pub(super) struct Encoder {
     proxy: ProxyIndex,
     classes: Vec<String>,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The lines of an event; `None` for those that the wire does not have.
+    /// Encodes an event as one or more lines; returns `None` for an event that the adapter protocol does not support.
     pub(super) fn event(&self, event: Event) -> Option<String> {
         let proxy = self.proxy;
         match event {
--- a/crates/simulator/src/adapter/mod.rs
+++ b/crates/simulator/src/adapter/mod.rs
@@ -1,7 +1,8 @@
-//! Decisions of another build, through its adapter for the operators' simulator: any commit can be compared with any
-//! other.
+//! A policy that another build decides, in a separate process, through that build's adapter for the operators'
+//! simulator. Any two commits can be compared this way.
 //!
-//! One process hosts all proxies of a run, as on the operators' simulator; each event is a batch of its own.
+//! One adapter process hosts all proxies of a run, as on the operators' simulator. Each event is sent as a separate
+//! batch.
 
 mod decode;
 mod encode;
@@ -19,21 +20,21 @@
 use crate::policy::{FleetView, Policy};
 use crate::workload::Workload;
 
-/// What can go wrong with an adapter.
+/// An error in starting an adapter or in communicating with it.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
-    /// There is no such program, or its input or output is closed.
+    /// The program could not be started, or its standard input or output is closed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// Its standard input or output is no pipe.
-    #[error("no pipe to the adapter")]
+    /// The standard input or output of the adapter process is not a pipe.
+    #[error("standard input or output of the adapter is not a pipe")]
     NoPipe,
-    /// Its process has ended.
-    #[error("the adapter has ended")]
+    /// The adapter process has exited.
+    #[error("the adapter process has exited")]
     Ended,
 }
 
-/// The process of an adapter.
+/// A running adapter process.
 pub struct AdapterProcess {
     child: Child,
     input: ChildStdin,
@@ -42,10 +43,10 @@
 }
 
 impl AdapterProcess {
-    /// Starts it.
+    /// Starts an adapter process.
     ///
     /// # Errors
-    /// If there is no such program.
+    /// Returns an error if the program cannot be started.
     pub fn start(program: &Path) -> Result<Rc<RefCell<Self>>, AdapterError> {
         let mut child = Command::new(program).stdin(Stdio::piped()).stdout(Stdio::piped()).spawn()?;
         let input = child.stdin.take().ok_or(AdapterError::NoPipe)?;
@@ -53,7 +54,7 @@
         Ok(Rc::new(RefCell::new(AdapterProcess { child, input, output, line: String::new() })))
     }
 
-    /// Sends a batch of events and reads the actions that it returns.
+    /// Sends a batch of events and appends the actions that the adapter returns to `actions`.
     fn exchange(&mut self, now: Millis, lines: &str, actions: &mut Vec<Action>) -> Result<(), AdapterError> {
         write!(self.input, "FRAME\tts={now}\n{lines}GO\n")?;
         self.input.flush()?;
@@ -72,29 +73,29 @@
 
 impl Drop for AdapterProcess {
     fn drop(&mut self) {
-        // Both fail if the process has ended by itself.
+        // Both calls fail if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// One proxy that an adapter hosts.
+/// The policy of one proxy that an adapter hosts.
 pub struct AdapterPolicy {
     process: Rc<RefCell<AdapterProcess>>,
     encoder: Encoder,
-    /// The line that introduces it, until its first event is sent.
-    introduction: Option<String>,
+    /// The line that starts the proxy in the adapter; `None` once it has been sent with the first event.
+    setup_line: Option<String>,
 }
 
 impl AdapterPolicy {
-    /// A proxy of a workload, hosted by an adapter.
+    /// Creates the policy of one proxy of a workload. The adapter learns of the proxy with its first event.
     pub fn new(
         process: Rc<RefCell<AdapterProcess>>, workload: &Workload, proxy: ProxyIndex, seed: u64,
     ) -> Self {
         AdapterPolicy {
             process,
             encoder: Encoder::new(workload, proxy),
-            introduction: Some(encode::introduction(workload, proxy, seed)),
+            setup_line: Some(encode::setup_line(workload, proxy, seed)),
         }
     }
 }
@@ -102,9 +103,9 @@
 impl Policy for AdapterPolicy {
     fn handle(&mut self, now: Millis, event: Event, _: FleetView<'_>, actions: &mut Vec<Action>) {
         let Some(lines) = self.encoder.event(event) else { return };
-        let lines = self.introduction.take().unwrap_or_default() + &lines;
+        let lines = self.setup_line.take().unwrap_or_default() + &lines;
         if let Err(error) = self.process.borrow_mut().exchange(now, &lines, actions) {
-            // Without its decisions the run can't go on, and its result would mean nothing.
+            // Without the adapter's decisions the run can't continue, and its result would be meaningless.
             eprintln!("leadrelay-simulator: {error}");
             std::process::exit(1);
         }
--- a/crates/simulator/src/backend/key_cache.rs
+++ b/crates/simulator/src/backend/key_cache.rs
@@ -1,23 +1,23 @@
-//! The affinity keys that a backend has cached.
+//! The cache of affinity keys of a backend.
 
 use leadrelay_core::{AffinityKey, Millis};
 use rustc_hash::FxHashMap;
 
 use crate::workload::KeyCacheParameters;
 
-/// Affinity keys by when they were last used.
+/// The cached affinity keys of a backend, with the time at which each was last used.
 pub struct KeyCache {
     parameters: KeyCacheParameters,
     last_used: FxHashMap<AffinityKey, Millis>,
 }
 
 impl KeyCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub fn new(parameters: KeyCacheParameters) -> Self {
         KeyCache { parameters, last_used: FxHashMap::default() }
     }
 
-    /// The work that a request for a key needs; the key is cached from now on.
+    /// Returns the work that a request for a key needs, given its work without the cache, and caches the key.
     pub fn work_for(&mut self, now: Millis, key: AffinityKey, work: Millis) -> Millis {
         let retention = self.parameters.retention;
         let previous_use = self.last_used.insert(key, now);
@@ -26,12 +26,12 @@
         if is_cached { work * (1.0 - self.parameters.saving) } else { work }
     }
 
-    /// Forgets all keys.
+    /// Removes all keys.
     pub fn clear(&mut self) {
         self.last_used.clear();
     }
 
-    /// Drops expired keys once there are too many, and the least recently used one if that is not enough.
+    /// Removes expired keys if the cache exceeds its capacity, then the least recently used key if it still does.
     fn evict(&mut self, now: Millis) {
         let KeyCacheParameters { retention, capacity, .. } = self.parameters;
         if self.last_used.len() <= capacity {
--- a/crates/simulator/src/backend/mod.rs
+++ b/crates/simulator/src/backend/mod.rs
@@ -1,10 +1,12 @@
-//! A backend: cores that requests in process share evenly, a bounded queue, slow start, cached affinity keys and
-//! connections.
+//! The model of a backend: cores that the requests in process share evenly, a bounded queue, slow start, cached
+//! affinity keys and connections.
 //!
-//! Assumptions, after the operators' brief and bench page: requests in process share the cores evenly (processor
-//! sharing); beyond a number in process each further one costs efficiency; during slow start capacity rises linearly
-//! and is taken as constant between two events; a cancellation stops nothing; a request for a cached key needs less
-//! work.
+//! Assumptions, from the operators' requirements and benchmark description:
+//! - Requests in process share the cores evenly (processor sharing).
+//! - Above a threshold of requests in process, each additional request reduces efficiency.
+//! - During slow start capacity rises linearly; it is treated as constant between two events.
+//! - A cancelled request is processed to its end.
+//! - A request for a cached key needs less work.
 
 mod key_cache;
 mod overload;
@@ -23,60 +25,60 @@
 use crate::time::OrderedTime;
 use crate::workload::Machine;
 
-/// What happens to a request that arrives.
+/// The result of a request's arrival at a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Admission {
-    /// It is processed or waits.
+    /// The request is processed at once or waits in the queue.
     Accepted,
-    /// It is rejected for want of capacity.
+    /// The request is rejected because the backend is draining or its slots and queue are full.
     Rejected,
-    /// Nothing responds.
+    /// The backend is unresponsive: the request never gets a response.
     Unresponsive,
-    /// The backend is down.
+    /// The process of the backend is not running.
     Down,
 }
 
-/// A request that waits for a slot.
+/// A queued request that waits for a slot.
 struct Waiting {
     attempt: AttemptIndex,
     work: Millis,
 }
 
-/// A backend in a run.
+/// The simulated state of a backend.
 pub struct Backend {
-    /// What it runs on.
+    /// The machine that the backend runs on.
     pub machine: Machine,
-    /// When it last started; infinitely long ago if it runs from the beginning.
+    /// Time of the last start of the process; negative infinity if it has run since the beginning of the run.
     pub started_at: Millis,
-    /// Its process runs.
+    /// Whether the process is running.
     pub up: bool,
-    /// It finishes what it has.
+    /// Whether the backend is draining: it completes accepted requests and rejects new ones.
     pub draining: bool,
-    /// It accepts and answers nothing.
+    /// Whether the backend is unresponsive: new requests get no response.
     pub unresponsive: bool,
-    /// The fraction of its requests that a fault makes fail at once.
+    /// The fraction of arriving requests that fail immediately because of a fault.
     pub failure_rate: f64,
-    /// The factor by which a fault slows it down.
+    /// The factor by which a fault slows the backend down; 1 without a fault.
     pub slowdown: f64,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: usize,
-    /// Counts changes, so that an outdated completion is distinguished from a current one.
+    /// Incremented with each change that affects completion times, so that outdated completion events can be ignored.
     pub generation: u64,
-    /// Time in process, cores counted.
-    pub busy: Millis,
+    /// Total time during which cores were in use, summed over the cores.
+    pub busy_core_time: Millis,
     recent_work: RecentWork,
-    /// Requests in process by the virtual time at which they are complete.
+    /// Requests in process, ordered by the virtual time at which they complete.
     in_process: BinaryHeap<Reverse<(OrderedTime, AttemptIndex)>>,
     waiting: VecDeque<Waiting>,
-    /// Virtual time: work that each request in process has got since the start.
+    /// Virtual time: the work that a request in process since the start of the run would have received.
     virtual_time: f64,
-    /// When the virtual time was last updated.
+    /// Time at which the virtual time was last updated.
     updated_at: Millis,
     key_cache: KeyCache,
 }
 
 impl Backend {
-    /// One that has run for long.
+    /// Creates a running backend whose slow start is over.
     pub fn new(machine: Machine) -> Self {
         let key_cache = KeyCache::new(machine.key_cache);
         Backend {
@@ -89,7 +91,7 @@
             slowdown: 1.0,
             connections: 0,
             generation: 0,
-            busy: 0.0,
+            busy_core_time: 0.0,
             recent_work: RecentWork::default(),
             in_process: BinaryHeap::new(),
             waiting: VecDeque::new(),
@@ -99,29 +101,29 @@
         }
     }
 
-    /// The fraction of its capacity that it has.
+    /// Returns the fraction of the full capacity that is available, which is below 1 during slow start.
     pub fn slow_start_factor(&self, now: Millis) -> f64 {
         let initial = self.machine.slow_start.initial_capacity;
         let progress = (now - self.started_at) / self.machine.slow_start.duration;
         (initial + (1.0 - initial) * progress).clamp(initial, 1.0)
     }
 
-    /// Whether it is in slow start.
+    /// Whether the backend is in slow start.
     pub fn is_warming_up(&self, now: Millis) -> bool {
         now - self.started_at < self.machine.slow_start.duration
     }
 
-    /// Work that it does in a millisecond with all cores in use.
+    /// Returns the work that the backend does per millisecond with all cores in use.
     pub fn capacity(&self, now: Millis) -> f64 {
         self.machine.cores * self.machine.speed * self.slow_start_factor(now) / self.slowdown
     }
 
-    /// Requests in process and waiting.
+    /// Returns the number of requests in process and in the queue.
     pub fn in_flight(&self) -> usize {
         self.in_process.len() + self.waiting.len()
     }
 
-    /// Whether a request that arrived now would find a core available and be served.
+    /// Whether the backend is healthy, past its slow start and has a free core for a request that arrives now.
     pub fn is_idle(&self, now: Millis) -> bool {
         self.up
             && !self.draining
@@ -131,14 +133,14 @@
             && (self.in_process.len() as f64) < self.machine.cores
     }
 
-    /// Whether it can serve requests, failures by a fault included.
+    /// Whether the backend accepts requests and a fault makes at most a small fraction of them fail.
     pub fn can_serve(&self) -> bool {
-        /// Backends that fail more than this are of no use.
+        /// A backend whose failure rate reaches this fraction counts as unable to serve.
         const MAX_FAILURE_RATE: f64 = 0.05;
         self.up && !self.draining && !self.unresponsive && self.failure_rate < MAX_FAILURE_RATE
     }
 
-    /// Work that each request in process gets in a millisecond.
+    /// Returns the work that each request in process receives per millisecond.
     fn rate_per_request(&self, now: Millis) -> f64 {
         let concurrency = self.in_process.len() as f64;
         if concurrency == 0.0 {
@@ -151,15 +153,15 @@
         self.capacity(now) * (cores_in_use / self.machine.cores) / concurrency * efficiency
     }
 
-    /// Brings virtual time and time in process up to date.
+    /// Advances the virtual time and the busy time to `now`.
     fn advance(&mut self, now: Millis) {
         let elapsed = now - self.updated_at;
         self.virtual_time += elapsed * self.rate_per_request(self.updated_at);
-        self.busy += elapsed * (self.in_process.len() as f64).min(self.machine.cores);
+        self.busy_core_time += elapsed * (self.in_process.len() as f64).min(self.machine.cores);
         self.updated_at = now;
     }
 
-    /// A request arrives that needs this much work for this key.
+    /// Handles the arrival of a request with the given affinity key, which needs `work` unless the key is cached.
     pub fn arrive(
         &mut self, now: Millis, attempt: AttemptIndex, work: Millis, key: AffinityKey,
     ) -> Admission {
@@ -187,7 +189,7 @@
         self.in_process.push(Reverse((OrderedTime(self.virtual_time + work), attempt)));
     }
 
-    /// Work that belongs to no request, such as a handshake. It slows down what is in process.
+    /// Adds work that belongs to no request, such as a handshake. It delays the requests in process.
     pub fn add_work(&mut self, now: Millis, work: Millis) {
         self.advance(now);
         let concurrency = self.in_process.len() as f64;
@@ -197,9 +199,9 @@
         }
     }
 
-    /// When the next request in process is complete, if nothing changes.
+    /// Returns the time at which the next request in process completes if nothing changes.
     pub fn next_completion(&self, now: Millis) -> Option<Millis> {
-        /// Keeps the division defined where nothing is processed.
+        /// Lower bound of the processing rate, which avoids a division by zero.
         const MIN_RATE: f64 = 1e-9;
         let Reverse((OrderedTime(complete_at), _)) = self.in_process.peek()?;
         let since_update = (now - self.updated_at) * self.rate_per_request(self.updated_at);
@@ -207,7 +209,7 @@
         Some(now + remaining.max(0.0) / self.rate_per_request(now).max(MIN_RATE))
     }
 
-    /// Takes out the request that is complete now.
+    /// Removes the request that completes now and starts the first one in the queue.
     pub fn complete_next(&mut self, now: Millis) -> Option<AttemptIndex> {
         self.advance(now);
         let Reverse((_, attempt)) = self.in_process.pop()?;
@@ -218,7 +220,7 @@
         Some(attempt)
     }
 
-    /// Its process ends: returns the attempts that are lost with it.
+    /// Stops the process; returns the attempts that are lost with it.
     pub fn crash(&mut self, now: Millis) -> Vec<AttemptIndex> {
         self.advance(now);
         let mut lost: Vec<AttemptIndex> =
@@ -233,7 +235,7 @@
         lost
     }
 
-    /// A new process starts and warms up.
+    /// Starts a new process, which begins with slow start.
     pub fn start(&mut self, now: Millis) {
         self.advance(now);
         self.up = true;
@@ -243,7 +245,7 @@
         self.generation += 1;
     }
 
-    /// Records work sent to it; returns whether that overloads it in slow start.
+    /// Records work that arrives during slow start; returns whether it overloads the backend.
     pub fn record_slow_start_work(&mut self, now: Millis, work: Millis, limit: OverloadLimit) -> bool {
         if !self.is_warming_up(now) {
             return false;
@@ -252,7 +254,7 @@
         self.recent_work.total() > limit.multiple * self.capacity(now) * limit.window
     }
 
-    /// What overloaded it in slow start, for a report.
+    /// Describes the recent work and the start time of an overloaded backend, for a violation report.
     pub fn describe_overload(&self) -> String {
         let started_at = self.started_at;
         format!("{}, started at {started_at:.0}", self.recent_work)
--- a/crates/simulator/src/backend/overload.rs
+++ b/crates/simulator/src/backend/overload.rs
@@ -1,16 +1,16 @@
-//! The work that was recently sent to a backend in slow start.
+//! Tracks the work that a backend in slow start has recently received.
 
 use std::collections::VecDeque;
 use std::fmt;
 
 use leadrelay_core::Millis;
 
-/// What a backend in slow start withstands.
+/// The limit above which a backend in slow start is overloaded.
 #[derive(Clone, Copy, Debug)]
 pub struct OverloadLimit {
-    /// It may be sent this multiple of its capacity ...
+    /// The work that the backend may receive within the window, as a multiple of the work that it can do in that time.
     pub multiple: f64,
-    /// ... within this time.
+    /// Length of the window over which work is summed.
     pub window: Millis,
 }
 
@@ -19,14 +19,14 @@
     work: Millis,
 }
 
-/// Work sent within a window, newest last.
+/// The work that arrived within a sliding window, newest last.
 #[derive(Default)]
 pub struct RecentWork {
     sent: VecDeque<Sent>,
 }
 
 impl RecentWork {
-    /// Adds work sent now and drops what the window has passed.
+    /// Adds work that arrives now and removes work that is older than the window.
     pub fn record(&mut self, now: Millis, work: Millis, window: Millis) {
         self.sent.push_back(Sent { at: now, work });
         while self.sent.front().is_some_and(|sent| sent.at <= now - window) {
@@ -34,12 +34,12 @@
         }
     }
 
-    /// All work within the window.
+    /// Returns the sum of the work within the window.
     pub fn total(&self) -> Millis {
         self.sent.iter().map(|sent| sent.work).sum()
     }
 
-    /// Forgets all work.
+    /// Removes all recorded work.
     pub fn clear(&mut self) {
         self.sent.clear();
     }
--- a/crates/simulator/src/backend/tests.rs
+++ b/crates/simulator/src/backend/tests.rs
@@ -1,4 +1,4 @@
-//! Processor sharing, the key cache and slow start of one backend.
+//! Tests of processor sharing, the queue, the key cache and slow start of one backend.
 
 use leadrelay_core::CellId;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A request whose affinity key has the number of its attempt.
+/// Lets a request arrive whose affinity key equals its attempt number, so that no two requests share a key.
 fn arrive(backend: &mut Backend, now: Millis, attempt: usize, work: Millis) -> Admission {
     backend.arrive(now, AttemptIndex(attempt), work, AffinityKey(attempt as u64))
 }
@@ -37,16 +37,16 @@
     assert_eq!(arrive(&mut backend, 0.0, 1, 20.0), Admission::Accepted);
     assert_eq!(backend.next_completion(0.0), Some(10.0));
     assert_eq!(arrive(&mut backend, 5.0, 2, 20.0), Admission::Accepted);
-    // The first has 10 left at 5 ms, and half of the core's 2 from then on.
+    // Request 1 has 10 units of work left at 5 ms and gets half of the core's speed of 2 from then on.
     assert_eq!(backend.next_completion(5.0), Some(15.0));
     assert_eq!(arrive(&mut backend, 5.0, 3, 1.0), Admission::Accepted);
     assert_eq!(arrive(&mut backend, 5.0, 4, 1.0), Admission::Rejected);
     assert_eq!(backend.complete_next(15.0), Some(AttemptIndex(1)));
-    // The second has got 10 of its 20, and the third has started with 1.
+    // Request 2 has received 10 of its 20 units of work; request 3 has just started with 1 unit.
     assert_eq!(backend.next_completion(15.0), Some(16.0));
     assert_eq!(backend.complete_next(16.0), Some(AttemptIndex(3)));
     assert_eq!(backend.next_completion(16.0), Some(20.5));
-    assert!((backend.busy - 16.0).abs() < 1e-9);
+    assert!((backend.busy_core_time - 16.0).abs() < 1e-9);
 }
 
 #[test]
@@ -69,9 +69,9 @@
 #[test]
 fn slow_start_overload_is_reported_beyond_the_multiple() {
     let mut backend = Backend::new(machine());
-    assert!(!backend.record_slow_start_work(0.0, 1e9, LIMIT), "it has run for long");
+    assert!(!backend.record_slow_start_work(0.0, 1e9, LIMIT), "the slow start is over");
     backend.start(0.0);
-    // Its capacity is 1 a ms: 3,000 in a second is the bound.
+    // The capacity is 1 unit of work per ms, so the limit is 3,000 units within the window of one second.
     assert!(!backend.record_slow_start_work(1.0, 2900.0, LIMIT));
     assert!(backend.record_slow_start_work(2.0, 200.0, LIMIT));
 }
--- a/crates/simulator/src/discovery/connections.rs
+++ b/crates/simulator/src/discovery/connections.rs
@@ -1,54 +1,57 @@
-//! The connections of the proxies to discovery.
+//! The connections of the proxies to the discovery service.
 
 use leadrelay_core::{CallId, Millis};
 use rustc_hash::FxHashMap;
 
 use crate::index::{ConnectionIndex, IndexedVec, ProxyIndex};
 
-/// One incarnation of a proxy.
+/// The incarnation of a proxy that made a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Caller {
-    /// Which proxy.
+    /// The proxy.
     pub proxy: ProxyIndex,
-    /// How often it had been started before.
+    /// How many times the proxy had been restarted before this incarnation.
     pub incarnation: u32,
 }
 
 /// The state of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Phase {
-    /// It waits, and fails at this time at the latest.
+    /// The call waits to be served and fails at `until` at the latest.
     Waiting { until: Millis },
-    /// It is a watch.
+    /// The call has been accepted as a watch.
     Open,
-    /// Nothing more is written to it.
+    /// The call has ended; nothing more is written to its connection.
     Ended,
 }
 
+/// A call of a proxy to discovery, with its connection.
 pub(super) struct Connection {
     pub(super) caller: Caller,
     pub(super) call: CallId,
-    /// The version that the proxy has.
-    pub(super) after: Option<u64>,
+    /// The version of the endpoint list that the proxy had when it called; `None` without a list.
+    pub(super) known_version: Option<u64>,
     pub(super) phase: Phase,
-    /// Its proxy has given it up or is down.
+    /// Whether the proxy has given the call up or is down.
     pub(super) abandoned: bool,
-    /// The network loses all that is written to it.
+    /// Whether the network drops everything that is written to the connection.
     pub(super) stalled: bool,
-    /// It leads to the address that discovery has left.
+    /// Whether the connection leads to the address that the service had before its last move.
     pub(super) former_address: bool,
-    /// The version that was last written to it.
+    /// The version of the endpoint list that was last written to the connection.
     pub(super) version: u64,
     pub(super) written_at: Millis,
 }
 
 impl Connection {
-    /// A connection that is opened now.
-    pub(super) fn new(now: Millis, caller: Caller, call: CallId, after: Option<u64>, phase: Phase) -> Self {
+    /// Creates a connection that is opened now.
+    pub(super) fn new(
+        now: Millis, caller: Caller, call: CallId, known_version: Option<u64>, phase: Phase,
+    ) -> Self {
         Connection {
             caller,
             call,
-            after,
+            known_version,
             phase,
             abandoned: false,
             stalled: false,
@@ -58,18 +61,18 @@
         }
     }
 
-    /// Whether what is written to it arrives.
+    /// Whether the connection is a watch whose messages reach the proxy.
     pub(super) fn is_live_watch(&self) -> bool {
         self.phase == Phase::Open && !self.stalled
     }
 }
 
-/// All connections, open ones first found.
+/// All connections, with an index of those that are still active.
 #[derive(Default)]
 pub(super) struct Connections {
     all: IndexedVec<ConnectionIndex, Connection>,
     by_call: FxHashMap<(Caller, CallId), ConnectionIndex>,
-    /// Those that are waiting or open, in the order of calls.
+    /// The connections that are waiting or open, in the order of their calls.
     active: Vec<ConnectionIndex>,
 }
 
@@ -97,12 +100,12 @@
         self.by_call.get(&(caller, call)).copied()
     }
 
-    /// The active ones that fulfil a condition, in the order of calls.
+    /// Returns the active connections that satisfy a condition, in the order of their calls.
     pub(super) fn active(&self, condition: impl Fn(&Connection) -> bool) -> Vec<ConnectionIndex> {
         self.active.iter().copied().filter(|index| condition(&self.all[*index])).collect()
     }
 
-    /// Ends a connection; returns the phase that it had.
+    /// Ends a connection; returns its previous phase.
     pub(super) fn end(&mut self, index: ConnectionIndex) -> Phase {
         let phase = std::mem::replace(&mut self.all[index].phase, Phase::Ended);
         if phase != Phase::Ended {
@@ -111,7 +114,7 @@
         phase
     }
 
-    /// Its proxy no longer reads from it. A watch ends; a call that waits keeps its place in the queue.
+    /// Marks a connection that its proxy no longer reads. A watch ends; a waiting call keeps its place in the queue.
     pub(super) fn abandon(&mut self, index: ConnectionIndex) {
         let connection = &mut self.all[index];
         connection.abandoned = true;
@@ -120,7 +123,7 @@
         }
     }
 
-    /// From now on all active connections lead to the former address.
+    /// Marks all active connections as leading to the former address.
     pub(super) fn leave_address(&mut self) {
         for index in &self.active {
             self.all[*index].former_address = true;
--- a/crates/simulator/src/discovery/effect.rs
+++ b/crates/simulator/src/discovery/effect.rs
@@ -1,59 +1,59 @@
-//! What the model of discovery plans and what follows from what it does.
+//! The steps that the discovery model schedules, and the effects that it returns.
 
 use leadrelay_core::{DiscoveryEvent, Endpoint, Millis};
 
 use crate::index::{ConnectionIndex, ProxyIndex};
 
-/// What the service does at a planned time.
+/// An operation that the service performs at a scheduled time.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// A call's turn has come.
-    Answer(ConnectionIndex),
-    /// A call has waited for too long.
+    /// Accepts a call that has reached the head of the queue.
+    Accept(ConnectionIndex),
+    /// Fails a call that has waited for the maximum time.
     Expire(ConnectionIndex),
-    /// A watch may need a heartbeat.
+    /// Writes a heartbeat to a watch if one is due.
     Heartbeat(ConnectionIndex),
-    /// Changes are written to the watches.
+    /// Writes changes to the watches.
     Push,
-    /// The former address ends its watches.
+    /// Ends the watches at the former address.
     EndFormerAddress,
 }
 
-/// What follows from what the service does.
+/// A consequence of an operation of the service, which the caller carries out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// The service is to be called again at a time.
+    /// The caller has to run a step of the service at a later time.
     Schedule {
-        /// When.
+        /// Time of the step.
         at: Millis,
-        /// With what.
+        /// The step.
         step: Step,
     },
-    /// A proxy reads something from a connection then, if it has not given the call up by that time.
+    /// A proxy reads an event from a connection at a later time, unless it has given the call up by then.
     Read {
-        /// When.
+        /// Time of the read.
         at: Millis,
-        /// Where.
+        /// The connection that the proxy reads from.
         connection: ConnectionIndex,
-        /// What.
+        /// The event that the proxy reads.
         event: DiscoveryEvent,
     },
-    /// The service now has a change.
+    /// The service has received a change of an endpoint.
     Updated(Endpoint),
-    /// The service has written lines to a proxy.
+    /// The service has written endpoint list entries to a watch.
     Written {
-        /// To which.
+        /// The proxy that the watch belongs to.
         proxy: ProxyIndex,
-        /// Whether at the address that discovery has left.
+        /// Whether the watch is at the address that the service had before its last move.
         former_address: bool,
-        /// Whether it is the complete list.
+        /// Whether the entries are the complete list rather than changes.
         complete: bool,
-        /// Its entries.
+        /// The entries that were written.
         entries: Vec<Endpoint>,
     },
-    /// A watch at the present address has ended.
+    /// A watch at the current address has ended.
     WatchEnded {
-        /// Whose.
+        /// The proxy that the watch belonged to.
         proxy: ProxyIndex,
     },
 }
--- a/crates/simulator/src/discovery/mod.rs
+++ b/crates/simulator/src/discovery/mod.rs
@@ -1,10 +1,9 @@
 //! The model of discovery: the service that lists backends, the network to it, and the calls of the proxies.
 //!
-//! One queue is served in turn at a constant rate. A call that would wait longer than the service's limit fails when
-//! that limit is over. A call that its proxy has given up is served all the same, for nothing, as its place in the
-//! queue can't be taken back. A watch carries changes with the version that they lead to, and a heartbeat each 2 s
-//! while nothing changes. Nothing is decided here: the model returns [`Effect`]s, and its owner schedules them on its
-//! own clock.
+//! Calls wait in a queue that is served in order at a constant rate. A call that would wait longer than the service's
+//! limit fails once that limit has passed. A call that its proxy has given up still takes up service time, because it
+//! can't be removed from the queue. A watch carries changes with the version that results from them, and a heartbeat
+//! every 2 s while nothing changes. The model has no clock: it returns [`Effect`]s, and the caller schedules them.
 
 mod connections;
 mod effect;
@@ -21,116 +20,117 @@
 use crate::index::{ConnectionIndex, ProxyIndex};
 use crate::random::RandomStream;
 
-/// One-way latency between a proxy and the service.
+/// One-way network latency between a proxy and the service.
 const LATENCY: Millis = 1.0;
-/// After a move the former address ends its watches after this time.
+/// Time between a move of the service and the end of the watches at the former address.
 const FORMER_ADDRESS_LINGER: Millis = 1500.0;
 
-/// What calls meet during an outage of discovery.
+/// The behaviour of the service towards calls during an outage.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum OutageMode {
-    /// They are accepted, and fail when the service's limit is over.
+    /// Calls are accepted and fail after the maximum waiting time of the service.
     #[default]
     Fails,
-    /// Nobody accepts them.
+    /// Connections are refused.
     Refuses,
 }
 
-/// The parameters of the service.
+/// The parameters of the discovery service.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryParameters {
-    /// Calls a second that it can answer.
+    /// Calls per second that the service can accept.
     pub calls_per_s: f64,
-    /// A call that would wait longer fails.
+    /// Maximum waiting time of a call; a call that would wait longer fails.
     pub max_wait: Millis,
-    /// Interval at which changes are written to watches.
+    /// Interval at which changes are written to the watches.
     pub push_interval: Millis,
-    /// Each proxy has an agent of its own: no call waits in a queue.
+    /// Whether each proxy has its own discovery agent, so that no call waits in a queue.
     pub pushed: bool,
-    /// What calls meet during an outage.
+    /// The behaviour towards calls during an outage.
     pub outage: OutageMode,
-    /// The fraction of the calls with a known version that get the complete list all the same.
+    /// The fraction of the calls with a known version that get the complete list instead of the changes.
     pub full_list_fraction: f64,
-    /// Complete lists leave out what drains.
+    /// Whether complete lists omit draining endpoints.
     pub omits_draining: bool,
 }
 
-/// How many calls there were.
+/// Counts of the calls to the service.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallCounts {
-    /// In all.
+    /// All calls.
     pub calls: u64,
-    /// Those that failed.
+    /// Calls that failed.
     pub failed: u64,
-    /// Those that were served although their proxies had given them up.
+    /// Calls that reached the head of the queue after their proxies had given them up.
     pub wasted: u64,
 }
 
-/// The service with all its connections.
+/// The discovery service with all its connections.
 pub struct DiscoveryService {
     parameters: DiscoveryParameters,
     queue: CallQueue,
     list: Vec<Endpoint>,
-    /// What each version changed, from version 1 on.
+    /// The entry that each version changed, starting with version 1.
     history: Vec<Endpoint>,
-    /// Changes that it gets once the outage is over.
-    missed: Vec<Endpoint>,
-    down: bool,
+    /// Changes during an outage, which the service receives when the outage ends.
+    deferred_changes: Vec<Endpoint>,
+    is_down: bool,
     connections: Connections,
     counts: CallCounts,
     random: RandomStream,
 }
 
 impl DiscoveryService {
-    /// A service that has this list.
+    /// Creates a service with an initial endpoint list.
     pub fn new(parameters: DiscoveryParameters, list: Vec<Endpoint>, seed: u64) -> Self {
         DiscoveryService {
             parameters,
             queue: CallQueue::new(parameters.calls_per_s, parameters.max_wait),
             list,
             history: Vec::new(),
-            missed: Vec::new(),
-            down: false,
+            deferred_changes: Vec::new(),
+            is_down: false,
             connections: Connections::default(),
             counts: CallCounts::default(),
             random: RandomStream::new(seed, "discovery"),
         }
     }
 
-    /// How many calls there were.
+    /// Returns the counts of calls so far.
     pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
-    /// A proxy opens a watch; `after` is the version that it has.
+    /// Handles the call of a proxy that opens a watch; `known_version` is the version of the list that the proxy has.
     pub fn call(
-        &mut self, now: Millis, caller: Caller, call: CallId, after: Option<u64>, effects: &mut Vec<Effect>,
+        &mut self, now: Millis, caller: Caller, call: CallId, known_version: Option<u64>,
+        effects: &mut Vec<Effect>,
     ) {
         self.counts.calls += 1;
         let connected_at = now + 2.0 * LATENCY;
-        if self.down && self.parameters.outage == OutageMode::Refuses {
+        if self.is_down && self.parameters.outage == OutageMode::Refuses {
             self.counts.failed += 1;
-            let refused = Connection::new(now, caller, call, after, Phase::Ended);
+            let refused = Connection::new(now, caller, call, known_version, Phase::Ended);
             let connection = self.connections.open(refused);
             let event = DiscoveryEvent::Ended { call, at: now, end: CallEnd::Unreachable };
             return effects.push(Effect::Read { at: connected_at, connection, event });
         }
         let arrives_at = now + LATENCY;
         let until = arrives_at + self.parameters.max_wait;
-        let waiting = Connection::new(now, caller, call, after, Phase::Waiting { until });
+        let waiting = Connection::new(now, caller, call, known_version, Phase::Waiting { until });
         let connection = self.connections.open(waiting);
         let event = DiscoveryEvent::Connected(call);
         effects.push(Effect::Read { at: connected_at, connection, event });
-        effects.push(match self.turn(arrives_at, connected_at) {
-            Some(at) => Effect::Schedule { at, step: Step::Answer(connection) },
+        effects.push(match self.enqueue(arrives_at, connected_at) {
+            Some(at) => Effect::Schedule { at, step: Step::Accept(connection) },
             None => Effect::Schedule { at: until, step: Step::Expire(connection) },
         });
     }
 
-    /// When a call will be answered, `None` if it will not.
-    fn turn(&mut self, arrives_at: Millis, connected_at: Millis) -> Option<Millis> {
-        if self.down {
+    /// Enqueues a call; returns the time at which it is accepted, or `None` if it fails.
+    fn enqueue(&mut self, arrives_at: Millis, connected_at: Millis) -> Option<Millis> {
+        if self.is_down {
             return None;
         }
         if self.parameters.pushed {
@@ -140,7 +140,7 @@
         Some(served_at.max(connected_at))
     }
 
-    /// A proxy gives a call up; returns whether that was an open watch at the present address.
+    /// Handles a proxy giving a call up; returns whether the call was an open watch at the current address.
     pub fn give_up(&mut self, caller: Caller, call: CallId) -> bool {
         let Some(index) = self.connections.find(caller, call) else { return false };
         let connection = self.connections.get(index);
@@ -149,23 +149,23 @@
         was_watch
     }
 
-    /// A proxy is down: its connections are closed.
+    /// Closes all connections of a proxy that has gone down.
     pub fn close_connections(&mut self, proxy: ProxyIndex) {
         for index in self.connections.active(|connection| connection.caller.proxy == proxy) {
             self.connections.abandon(index);
         }
     }
 
-    /// Whose connection it is, if its proxy still reads from it.
+    /// Returns the caller that owns a connection, or `None` if the caller no longer reads from it.
     pub fn reader(&self, index: ConnectionIndex) -> Option<Caller> {
         let connection = self.connections.get(index);
         (!connection.abandoned).then_some(connection.caller)
     }
 
-    /// An endpoint has changed; during an outage the service gets the change at its end.
+    /// Applies a change of an endpoint; during an outage the change is deferred to the end of the outage.
     pub fn update(&mut self, entry: Endpoint, effects: &mut Vec<Effect>) {
-        if self.down {
-            return self.missed.push(entry);
+        if self.is_down {
+            return self.deferred_changes.push(entry);
         }
         let position = self.list.iter().position(|listed| listed.id == entry.id);
         match (entry.state, position) {
@@ -180,10 +180,10 @@
         effects.push(Effect::Updated(entry));
     }
 
-    /// Does what was scheduled.
+    /// Performs a scheduled step.
     pub fn step(&mut self, now: Millis, step: Step, effects: &mut Vec<Effect>) {
         match step {
-            Step::Answer(connection) => self.answer(now, connection, effects),
+            Step::Accept(connection) => self.accept(now, connection, effects),
             Step::Expire(connection) => self.end(now, connection, effects),
             Step::Heartbeat(connection) => self.heartbeat(now, connection, effects),
             Step::Push => self.push(now, effects),
@@ -195,22 +195,22 @@
         }
     }
 
-    /// An outage starts: watches end, calls fail.
+    /// Starts an outage: watches end and calls fail.
     pub fn start_outage(&mut self, now: Millis, effects: &mut Vec<Effect>) {
-        self.down = true;
+        self.is_down = true;
         self.reset_watches(now, |_| true, effects);
     }
 
-    /// The outage ends; the queue is empty.
+    /// Ends the outage with an empty queue and applies the deferred changes.
     pub fn end_outage(&mut self, now: Millis, effects: &mut Vec<Effect>) {
-        self.down = false;
+        self.is_down = false;
         self.queue.clear(now);
-        for entry in std::mem::take(&mut self.missed) {
+        for entry in std::mem::take(&mut self.deferred_changes) {
             self.update(entry, effects);
         }
     }
 
-    /// The service moves to another address. The former one serves what it has accepted and then ends its watches.
+    /// Moves the service to another address. The former address serves its accepted calls, then ends its watches.
     pub fn move_address(&mut self, now: Millis, effects: &mut Vec<Effect>) {
         self.connections.leave_address();
         self.queue.clear(now);
@@ -218,7 +218,7 @@
         effects.push(Effect::Schedule { at, step: Step::EndFormerAddress });
     }
 
-    /// The watches of these proxies are reset.
+    /// Ends the live watches of the affected proxies.
     pub fn reset_watches(
         &mut self, now: Millis, is_affected: impl Fn(ProxyIndex) -> bool, effects: &mut Vec<Effect>,
     ) {
@@ -227,7 +227,7 @@
         }
     }
 
-    /// The watches of these proxies stall; returns whose did.
+    /// Stalls the live watches of the affected proxies; returns the proxies whose watches were stalled.
     pub fn stall_watches(&mut self, is_affected: impl Fn(ProxyIndex) -> bool) -> Vec<ProxyIndex> {
         let mut proxies = Vec::new();
         for index in self.live_watches(is_affected) {
@@ -243,7 +243,7 @@
             .active(|connection| connection.is_live_watch() && is_affected(connection.caller.proxy))
     }
 
-    /// The service or the network ends a connection.
+    /// Ends a connection from the side of the service or the network.
     fn end(&mut self, now: Millis, index: ConnectionIndex, effects: &mut Vec<Effect>) {
         let phase = self.connections.end(index);
         let connection = self.connections.get(index);
--- a/crates/simulator/src/discovery/watch.rs
+++ b/crates/simulator/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! What discovery writes to the watches of the proxies.
+//! The messages that the discovery service writes to the watches of the proxies.
 
 use leadrelay_core::{DiscoveryEvent, Endpoint, EndpointState, Millis};
 
@@ -7,15 +7,15 @@
 use super::{DiscoveryService, LATENCY};
 use crate::index::ConnectionIndex;
 
-/// Interval between the lines of a watch while nothing changes.
+/// Interval between the messages on a watch while nothing changes.
 const HEARTBEAT_INTERVAL: Millis = 2000.0;
 
 impl DiscoveryService {
-    /// A call's turn has come: it becomes a watch.
-    pub(super) fn answer(&mut self, now: Millis, index: ConnectionIndex, effects: &mut Vec<Effect>) {
+    /// Accepts a call that has reached the head of the queue; it becomes a watch.
+    pub(super) fn accept(&mut self, now: Millis, index: ConnectionIndex, effects: &mut Vec<Effect>) {
         let connection = self.connections.get(index);
         let Phase::Waiting { until } = connection.phase else { return };
-        if self.down {
+        if self.is_down {
             return effects.push(Effect::Schedule { at: until, step: Step::Expire(index) });
         }
         if connection.abandoned {
@@ -23,7 +23,7 @@
             self.connections.end(index);
             return;
         }
-        let resumes_from = connection.after.filter(|version| *version <= self.version());
+        let resumes_from = connection.known_version.filter(|version| *version <= self.version());
         let resumes_from = resumes_from.filter(|_| !self.sends_full_list());
         self.connections.get_mut(index).phase = Phase::Open;
         match resumes_from {
@@ -34,13 +34,13 @@
         effects.push(Effect::Schedule { at, step: Step::Heartbeat(index) });
     }
 
-    /// Whether a call with a known version gets the complete list all the same.
+    /// Samples whether a call with a known version gets the complete list instead of the changes.
     fn sends_full_list(&mut self) -> bool {
         let fraction = self.parameters.full_list_fraction;
         fraction > 0.0 && self.random.chance(fraction)
     }
 
-    /// Writes changes to all watches that lack them.
+    /// Writes pending changes to all watches that are behind the current version.
     pub(super) fn push(&mut self, now: Millis, effects: &mut Vec<Effect>) {
         let at = now + self.parameters.push_interval;
         effects.push(Effect::Schedule { at, step: Step::Push });
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Writes a heartbeat to a watch if nothing else was written.
+    /// Writes a heartbeat to a watch if nothing has been written to it for a heartbeat interval.
     pub(super) fn heartbeat(&mut self, now: Millis, index: ConnectionIndex, effects: &mut Vec<Effect>) {
         let connection = self.connections.get_mut(index);
         if !connection.is_live_watch() {
@@ -74,8 +74,10 @@
         self.write(now, index, true, entries, effects);
     }
 
-    fn write_changes(&mut self, now: Millis, index: ConnectionIndex, after: u64, effects: &mut Vec<Effect>) {
-        let entries = self.history[after as usize..].to_vec();
+    fn write_changes(
+        &mut self, now: Millis, index: ConnectionIndex, known_version: u64, effects: &mut Vec<Effect>,
+    ) {
+        let entries = self.history[known_version as usize..].to_vec();
         self.write(now, index, false, entries, effects);
     }
 
--- a/crates/simulator/src/index.rs
+++ b/crates/simulator/src/index.rs
@@ -4,12 +4,12 @@
 use std::marker::PhantomData;
 use std::ops;
 
-/// An index of one kind of thing.
+/// An index type, which identifies the items of one kind.
 pub trait Index: Copy {
-    /// The index of this number.
+    /// Creates an index from a number.
     fn new(number: usize) -> Self;
 
-    /// Its number.
+    /// Returns the number.
     fn get(self) -> usize;
 }
 
@@ -38,27 +38,27 @@
 }
 
 index_types! {
-    /// A proxy of the fleet.
+    /// Index of a proxy.
     ProxyIndex;
-    /// A backend, in the order of first starts.
+    /// Index of a backend, in the order in which backends first started.
     BackendIndex;
-    /// A zone of the network.
+    /// Index of a zone.
     ZoneIndex;
-    /// A class of requests.
+    /// Index of a class of requests.
     ClassIndex;
-    /// A tenant.
+    /// Index of a tenant.
     TenantIndex;
-    /// A class of machines.
+    /// Index of a machine class.
     MachineClassIndex;
-    /// A request of the workload, in the order of arrivals.
+    /// Index of a request of the workload, in the order of arrival.
     RequestIndex;
-    /// An attempt of a client at a proxy.
+    /// Index of an attempt that a client makes at a proxy.
     ClientAttemptIndex;
-    /// An attempt of a proxy at a backend.
+    /// Index of an attempt that a proxy makes at a backend.
     AttemptIndex;
-    /// A fault of the workload.
+    /// Index of a fault of the workload.
     FaultIndex;
-    /// A connection of a proxy to discovery, in the order of calls.
+    /// Index of a connection of a proxy to discovery, in the order of calls.
     ConnectionIndex;
 }
 
@@ -70,12 +70,12 @@
 }
 
 impl<I: Index, T> IndexedVec<I, T> {
-    /// How many items there are.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether there is none.
+    /// Whether the vector is empty.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -86,27 +86,27 @@
         I::new(self.items.len() - 1)
     }
 
-    /// The item at an index, if there is one.
+    /// Returns the item at an index, or `None` if the index is out of bounds.
     pub fn get(&self, index: I) -> Option<&T> {
         self.items.get(index.get())
     }
 
-    /// The items in order.
+    /// Iterates over the items in order.
     pub fn iter(&self) -> std::slice::Iter<'_, T> {
         self.items.iter()
     }
 
-    /// The items in order, to be changed.
+    /// Iterates over mutable references to the items in order.
     pub fn iter_mut(&mut self) -> std::slice::IterMut<'_, T> {
         self.items.iter_mut()
     }
 
-    /// The items with their indices.
+    /// Iterates over the items with their indices.
     pub fn enumerate(&self) -> impl Iterator<Item = (I, &T)> {
         self.items.iter().enumerate().map(|(number, item)| (I::new(number), item))
     }
 
-    /// All indices in order.
+    /// Iterates over all indices in order.
     pub fn indices(&self) -> impl Iterator<Item = I> + use<I, T> {
         (0..self.items.len()).map(I::new)
     }
--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -1,51 +1,52 @@
-//! What decides for a proxy, and what of the fleet's true state it may see.
+//! The interface to the decision logic of a proxy, and the true state of the fleet that some baselines may use.
 
 use leadrelay_core::{Action, Balancer, Event, Millis};
 
 use crate::index::{BackendIndex, IndexedVec};
 
-/// The true state of all backends. Only baselines that are documented to see it use it.
+/// The true state of all backends. Only baselines that are documented to use it may do so.
 #[derive(Clone, Debug, Default)]
 pub struct TrueState {
-    /// Requests at each backend, waiting ones included.
+    /// Number of requests at each backend, including queued ones.
     pub in_flight: IndexedVec<BackendIndex, f64>,
-    /// Work that each does in a millisecond; 0 if it can't serve.
+    /// Work that each backend does per millisecond; 0 if it can't serve.
     pub capacity: IndexedVec<BackendIndex, f64>,
 }
 
 impl TrueState {
-    /// Adds a backend of which nothing is known.
+    /// Adds a backend without requests and capacity.
     pub fn push_backend(&mut self) {
         self.in_flight.push(0.0);
         self.capacity.push(0.0);
     }
 }
 
-/// The true state at present and as it was a while ago.
+/// The true state of the fleet, as it is now and as of the last snapshot.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetView<'a> {
-    /// At present.
+    /// The true state now.
     pub current: &'a TrueState,
-    /// A while ago.
+    /// The true state as of the last snapshot.
     pub delayed: &'a TrueState,
 }
 
-/// The decisions of one proxy.
+/// The decision logic of one proxy.
 pub trait Policy {
-    /// Takes an event and appends what is to be done.
+    /// Handles an event and appends the resulting actions to `actions`.
     fn handle(&mut self, now: Millis, event: Event, fleet: FleetView<'_>, actions: &mut Vec<Action>);
 
-    /// Whether it takes what its calls to discovery meet as [`Event::Discovery`]; others get [`Event::List`] alone.
+    /// Whether the policy handles events on its calls to discovery as [`Event::Discovery`]; otherwise it receives only
+    /// [`Event::List`].
     fn observes_calls(&self) -> bool {
         false
     }
 
-    /// How many of its decisions violated an invariant.
+    /// Returns how many decisions of the policy have violated an invariant.
     fn violations(&self) -> u64 {
         0
     }
 
-    /// Until when it may send by the list that it has, as far as it knows.
+    /// Returns the time until which the policy believes that its endpoint list allows sends.
     fn list_valid_until(&self) -> Millis {
         f64::INFINITY
     }
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -1,4 +1,4 @@
-//! Randomness: ranges from which a workload is sampled, and an independent stream for each purpose.
+//! Random numbers: an independent stream for each purpose, and the ranges and distributions that are sampled.
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha12Rng;
@@ -8,18 +8,18 @@
 #[cfg(test)]
 mod tests;
 
-/// A fixed number, or two between which one is sampled uniformly.
+/// A fixed number, or two bounds between which a number is sampled uniformly.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(untagged)]
 pub enum Range {
-    /// Always this.
+    /// Always the given number.
     Fixed(f64),
-    /// Anything from the first to the second.
+    /// A number between the lower and the upper bound.
     Between([f64; 2]),
 }
 
 impl Range {
-    /// Its bounds.
+    /// Returns the lower and the upper bound.
     pub fn bounds(self) -> (f64, f64) {
         match self {
             Range::Fixed(value) => (value, value),
@@ -28,72 +28,72 @@
     }
 }
 
-/// A stream of random numbers. The same seed and purpose give the same stream on every machine.
+/// A stream of random numbers. The same seed and purpose yield the same stream on every machine.
 #[derive(Clone, Debug)]
 pub struct RandomStream(ChaCha12Rng);
 
 impl RandomStream {
-    /// The stream of a purpose; purposes with different names are independent.
+    /// Creates the stream for a purpose; streams for different purposes are independent.
     ///
-    /// A purpose's name is part of the seed: with another name a run samples other values.
+    /// The name of the purpose determines the stream: renaming a purpose changes the values that a run samples.
     pub fn new(seed: u64, purpose: &str) -> Self {
         let mut generator = ChaCha12Rng::seed_from_u64(seed);
         generator.set_stream(leadrelay_core::names::hash_name(purpose));
         RandomStream(generator)
     }
 
-    /// Uniformly in [0, 1).
+    /// Samples a number uniformly from [0, 1).
     pub fn unit(&mut self) -> f64 {
         self.0.random()
     }
 
-    /// True with this probability.
+    /// Returns true with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.unit() < probability
     }
 
-    /// A whole number below `bound`; 0 if `bound` is 0.
+    /// Samples an integer uniformly from those below `bound`; returns 0 if `bound` is 0.
     pub fn below(&mut self, bound: usize) -> usize {
         if bound == 0 { 0 } else { self.0.random_range(0..bound) }
     }
 
-    /// Uniformly in a range.
+    /// Samples a number uniformly from a range.
     pub fn in_range(&mut self, range: Range) -> f64 {
         let (low, high) = range.bounds();
         low + (high - low) * self.unit()
     }
 
-    /// Exponential with mean 1.
+    /// Samples the exponential distribution with mean 1.
     pub fn exponential(&mut self) -> f64 {
         Exp1.sample(&mut self.0)
     }
 
-    /// Normal with mean 0 and deviation 1.
+    /// Samples the normal distribution with mean 0 and standard deviation 1.
     pub fn normal(&mut self) -> f64 {
         StandardNormal.sample(&mut self.0)
     }
 
-    /// Lognormal with mean 1 and this coefficient of variation.
+    /// Samples the lognormal distribution with mean 1 and the given coefficient of variation.
     pub fn lognormal(&mut self, variation: f64) -> f64 {
         let variance = (1.0 + variation * variation).ln();
         let distribution = LogNormal::new(-variance / 2.0, variance.sqrt());
         distribution.map_or(1.0, |distribution| distribution.sample(&mut self.0))
     }
 
-    /// The seed of another generator.
+    /// Samples a seed for another generator.
     pub fn seed(&mut self) -> u64 {
         self.0.random()
     }
 }
 
-/// The popularity of keys by Zipf's law: the n-th has weight 1/n^exponent.
+/// The popularity of keys according to Zipf's law: the n-th key has weight 1/n^exponent.
 #[derive(Clone, Debug)]
 pub struct Zipf {
     cumulative: Vec<f64>,
 }
 
 impl Zipf {
-    /// For that many keys.
+    /// Creates the distribution for a number of keys.
     pub fn new(keys: usize, exponent: f64) -> Self {
         let mut cumulative = Vec::with_capacity(keys.max(1));
         let mut sum = 0.0;
--- a/crates/simulator/src/random/tests.rs
+++ b/crates/simulator/src/random/tests.rs
@@ -1,4 +1,4 @@
-//! Streams of random numbers and their distributions.
+//! Tests of the streams of random numbers and their distributions.
 
 use super::*;
 
--- a/crates/simulator/src/settings.rs
+++ b/crates/simulator/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a run's proxies, as the operators would give them.
+//! The settings of the proxies of a run, as operators would configure them.
 
 use leadrelay_core::{
     DeduplicationScope, DiscoveryMode, Idempotency, Limits, Millis, NotificationBounds, Prices, RequestClass,
@@ -9,18 +9,18 @@
 use crate::scenario::{ClassSpec, RequestIdempotency};
 use crate::workload::Workload;
 
-/// Attempts that a request may have.
+/// Maximum number of attempts per request.
 pub const MAX_ATTEMPTS: usize = 5;
-/// A request with an idempotency key may be repeated for this time after its first attempt.
+/// Time after the first attempt within which a request with an idempotency key may be retried.
 pub const DEDUPLICATION_WINDOW: Millis = 10_000.0;
-/// Sends may go on for this time after a drain counts as notified.
+/// Time for which a proxy may still send to a backend after it counts as notified of its drain.
 const DRAIN_GRACE: Millis = 2000.0;
-/// Without a watch a change counts as notified after this time.
+/// Time after which a change counts as notified if the proxy has no watch.
 const NOTIFIED_WITHOUT_WATCH: Millis = 10_000.0;
-/// Requests that a proxy may have open.
+/// Maximum number of open requests of a proxy.
 const MAX_OPEN_REQUESTS: usize = 320;
 
-/// The settings of a proxy.
+/// Returns the settings of a proxy.
 pub fn settings(workload: &Workload, proxy: ProxyIndex) -> Settings {
     let scenario = &workload.scenario;
     let discovery = if scenario.discovery.pushed { DiscoveryMode::Pushed } else { DiscoveryMode::OnRequest };
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -1,35 +1,36 @@
-//! Attempts of proxies at backends: connections, sends and their ends.
+//! Attempts of proxies at backends: connections, sends and outcomes.
 
 use leadrelay_core::{Event as ProxyEvent, Millis, Outcome};
 
 use super::Simulation;
 use super::clients::request_id;
-use super::event::{Answer, Event};
+use super::event::{ClientResponse, Event};
 use crate::index::{AttemptIndex, BackendIndex, ClientAttemptIndex, ProxyIndex};
 use crate::report::RequestOutcome;
 
-/// An attempt of a proxy at a backend.
+/// An attempt that a proxy makes at a backend.
 pub(super) struct Attempt {
     pub(super) client_attempt: ClientAttemptIndex,
-    /// Its number among those for the same client's attempt.
+    /// Number of the attempt among those for the same client attempt, counted from 0.
     number: u32,
     pub(super) backend: BackendIndex,
-    /// The incarnation of the proxy that made it.
+    /// Incarnation of the proxy that made the attempt.
     pub(super) incarnation: u32,
     pub(super) sent_at: Millis,
-    /// The work that it asks for.
+    /// Work of the request on a standard core.
     pub(super) work: Millis,
-    /// The proxy has seen its end.
+    /// Whether the proxy has seen the end of the attempt.
     pub(super) ended: bool,
+    /// Whether the backend may have executed the request, as far as the proxy can tell.
     pub(super) may_have_run: bool,
-    /// Its proxy had been notified of the backend's last start.
+    /// Whether the proxy had been notified of the backend's last start when it sent the attempt.
     pub(super) knows_start: bool,
-    /// What it met, once that is known.
+    /// The outcome according to the true state, once it is known.
     pub(super) observed: Option<RequestOutcome>,
 }
 
 impl Simulation<'_> {
-    /// A proxy sends an attempt.
+    /// Sends an attempt of a proxy to a backend.
     pub(super) fn send(
         &mut self, proxy: ProxyIndex, client_attempt: ClientAttemptIndex, backend: BackendIndex,
         timeout: Option<Millis>,
@@ -48,12 +49,12 @@
         let has_connections = target.connections < target.machine.max_connections;
         let is_accepted = !is_partitioned && target.up && has_connections;
         let handshake = 2.0 * self.workload.scenario.network.handshake.round_trips * latency;
-        // A send that never gets a connection is checked by the time of the decision.
+        // A send that never gets a connection is checked with the time of the decision.
         let opens_connection = is_accepted && !reuses_connection;
         let first_byte = if opens_connection { self.now() + handshake } else { self.now() };
         self.check_drain(proxy, backend, first_byte);
         match (is_partitioned, reuses_connection) {
-            // On an open connection the request is lost without a trace.
+            // On an open connection the request is lost without a notification to the proxy.
             (true, true) => {}
             (true, false) => self.connect_times_out(attempt),
             (false, true) => self.events.schedule_after(latency, Event::ReachesBackend(attempt)),
@@ -87,7 +88,7 @@
         attempt
     }
 
-    /// An attempt times out when the proxy or the client gives it up, whichever is first.
+    /// Schedules the timeout of an attempt, when the proxy or the client gives it up, whichever comes first.
     fn schedule_timeout(&mut self, attempt: AttemptIndex, timeout: Option<Millis>) {
         let client_attempt = self.attempts[attempt].client_attempt;
         let deadline = self.clients.attempts[client_attempt].deadline - self.workload.latencies.client;
@@ -117,7 +118,7 @@
         self.backend_changed(backend);
     }
 
-    /// The end of an attempt reaches its proxy.
+    /// Handles the end of an attempt reaching its proxy.
     pub(super) fn attempt_ended(&mut self, index: AttemptIndex, outcome: Outcome) {
         let attempt = &self.attempts[index];
         let client_attempt = attempt.client_attempt;
@@ -127,15 +128,15 @@
         }
         let needs_network = !matches!(outcome, Outcome::TimedOut | Outcome::ConnectFailed);
         if needs_network && self.is_attempt_partitioned(index) {
-            return; // lost on its way back: the attempt times out
+            return; // the response is lost: the attempt times out
         }
         if attempt.observed.is_none() && outcome == Outcome::TimedOut {
-            self.attempts[index].observed = Some(self.unanswered_outcome(attempt));
+            self.attempts[index].observed = Some(self.outcome_without_response(attempt));
         }
         self.attempts[index].ended = true;
         self.attempts[index].may_have_run = outcome.may_have_run();
         self.release_connection(proxy, index, outcome);
-        let finished = self.answer_if_served(client_attempt, outcome);
+        let finished = self.respond_if_served(client_attempt, outcome);
         let attempt = &self.attempts[index];
         let event = ProxyEvent::Ended {
             request: request_id(client_attempt),
@@ -147,7 +148,7 @@
         self.deliver(proxy, event);
     }
 
-    /// Whether an attempt's proxy and backend can't reach each other.
+    /// Whether a partition separates an attempt's proxy from its backend.
     pub(super) fn is_attempt_partitioned(&self, index: AttemptIndex) -> bool {
         let attempt = &self.attempts[index];
         let proxy = self.clients.attempts[attempt.client_attempt].proxy;
@@ -155,7 +156,7 @@
         self.network.is_partitioned(self.proxies[proxy].zone, backend_zone)
     }
 
-    /// A connection becomes idle after a response, and is closed after a timeout.
+    /// Returns the connection to the idle ones after a response; closes it after a timeout.
     fn release_connection(&mut self, proxy: ProxyIndex, index: AttemptIndex, outcome: Outcome) {
         let backend = self.attempts[index].backend;
         match outcome {
@@ -170,16 +171,16 @@
         }
     }
 
-    /// Passes a response on; returns whether the client's attempt has its answer.
-    fn answer_if_served(&mut self, index: ClientAttemptIndex, outcome: Outcome) -> bool {
-        if self.clients.attempts[index].answered {
+    /// Passes the response of a served attempt on; returns whether the client attempt has been responded to.
+    fn respond_if_served(&mut self, index: ClientAttemptIndex, outcome: Outcome) -> bool {
+        if self.clients.attempts[index].responded {
             return true;
         }
         if outcome != Outcome::Served {
             return false;
         }
-        self.clients.attempts[index].answered = true;
-        self.send_to_client(index, Answer::Served);
+        self.clients.attempts[index].responded = true;
+        self.send_to_client(index, ClientResponse::Served);
         true
     }
 }
--- a/crates/simulator/src/simulation/backends.rs
+++ b/crates/simulator/src/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! Backends: what reaches them, what they complete, and the starts and ends of the processes.
+//! Backends: arriving and completed requests, and the starts and stops of the processes.
 
 use leadrelay_core::{EndpointState, Millis, Outcome};
 
@@ -10,18 +10,19 @@
 use crate::report::{RequestOutcome, Rule};
 use crate::slow_start::ReceivedRequest;
 
-/// A backend that is replaced finishes what it has for this time.
+/// Time between the start of the drain of a replaced backend and its removal.
 const DRAIN_PERIOD: Millis = 3000.0;
-/// A backend with a fault answers with an error after this time.
+/// Time that a backend with a fault takes to respond with an error.
 const FAILURE_LATENCY: Millis = 1.0;
 
 impl Simulation<'_> {
-    /// Copies the true state for policies that see it late.
+    /// Copies the true state for policies that see it with a delay.
     pub(super) fn take_snapshot(&mut self) {
         self.delayed_state = std::mem::take(&mut self.true_state);
         self.rebuild_true_state();
     }
 
+    /// Computes the true state of all backends from scratch.
     pub(super) fn rebuild_true_state(&mut self) {
         self.true_state = TrueState::default();
         for backend in self.backends.indices() {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Updates the true state of a backend for policies that see it.
+    /// Updates the true state of one backend.
     pub(super) fn update_true_state(&mut self, index: BackendIndex) {
         let backend = &self.backends[index];
         let capacity = if backend.can_serve() { backend.capacity(self.now()) } else { 0.0 };
@@ -38,7 +39,7 @@
         self.true_state.capacity[index] = capacity;
     }
 
-    /// Schedules a backend's next completion again after a change.
+    /// Updates the true state of a backend after a change and reschedules its next completion.
     pub(super) fn backend_changed(&mut self, index: BackendIndex) {
         self.update_true_state(index);
         let backend = &self.backends[index];
@@ -56,11 +57,12 @@
         self.network.zone_latency(self.proxies[proxy].zone, backend_zone)
     }
 
+    /// Handles the arrival of an attempt at its backend.
     pub(super) fn reaches_backend(&mut self, index: AttemptIndex) {
         let backend = self.attempts[index].backend;
         let latency = self.attempt_latency(index);
         if self.is_attempt_partitioned(index) {
-            return; // lost on its way
+            return; // the request is lost
         }
         if self.backends[backend].up {
             self.check_slow_start(index);
@@ -93,7 +95,7 @@
         self.backends[attempt.backend].arrive(now, index, attempt.work, key)
     }
 
-    /// Records a request that reaches a backend in slow start; an overload crashes it.
+    /// Records a request that reaches a backend in slow start; an overload crashes the backend.
     fn check_slow_start(&mut self, index: AttemptIndex) {
         let now = self.now();
         let workload = self.workload;
@@ -103,7 +105,8 @@
         let backend = attempt.backend;
         let received = ReceivedRequest { at: now, backend, class, by_notified: attempt.knows_start };
         self.slow_start.record(workload, &self.backends[backend], received);
-        // By the mean work of its class: no proxy can know the work of one request, and the rule leaves slack for it.
+        // The rule counts the mean work of the class, because no proxy can know the work of a single request; the rule
+        // leaves slack for the difference.
         let mean_work = workload.mean_work_by_class[class];
         let rule = &workload.scenario.slow_start;
         let limit = OverloadLimit { multiple: rule.overload_multiple, window: rule.overload_window() };
@@ -114,7 +117,7 @@
         }
     }
 
-    /// A backend completes a request, unless it has changed since that was planned.
+    /// Completes a request at a backend, unless the backend has changed since the completion was scheduled.
     pub(super) fn backend_completes(&mut self, index: BackendIndex, generation: u64) {
         if self.backends[index].generation != generation {
             return;
@@ -134,15 +137,15 @@
         self.events.schedule_after(latency, Event::AttemptEnded(completed, outcome));
     }
 
-    /// Whether somebody waits for the response to an attempt.
+    /// Whether the proxy and the client still wait for the response to an attempt.
     fn is_awaited(&self, index: AttemptIndex) -> bool {
         let attempt = &self.attempts[index];
         let client_attempt = &self.clients.attempts[attempt.client_attempt];
         let is_running = self.is_running(client_attempt.proxy, attempt.incarnation);
-        !attempt.ended && !client_attempt.answered && is_running
+        !attempt.ended && !client_attempt.responded && is_running
     }
 
-    /// A backend's process ends: its connections break.
+    /// Stops the process of a backend, which breaks its connections.
     pub(super) fn backend_stops(&mut self, index: BackendIndex) {
         let now = self.now();
         for attempt in self.backends[index].crash(now) {
@@ -156,13 +159,13 @@
         self.update_true_state(index);
     }
 
-    /// A backend's process ends, and it is removed from the list.
+    /// Stops the process of a backend and removes the backend from the endpoint list.
     pub(super) fn backend_removed(&mut self, index: BackendIndex) {
         self.backend_stops(index);
         self.announce(index, EndpointState::Removed);
     }
 
-    /// A backend's next process starts.
+    /// Starts a new process of a backend.
     pub(super) fn backend_restarts(&mut self, index: BackendIndex) {
         let now = self.now();
         self.backends[index].start(now);
@@ -170,7 +173,7 @@
         self.announce(index, EndpointState::Up);
     }
 
-    /// A backend is replaced by a new one: it drains, and the other warms up.
+    /// Replaces a backend by a new one: the old one drains while the new one is in slow start.
     pub(super) fn backend_replaced(&mut self, index: BackendIndex) {
         let now = self.now();
         self.backends[index].draining = true;
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -1,48 +1,51 @@
-//! Clients: attempts at proxies, timeouts, answers and retries.
+//! Clients: attempts at proxies, timeouts, responses and retries.
 
 use leadrelay_core::{ClassId, Event as ProxyEvent, Millis, RequestId, TenantId, TimeoutAnnouncement};
 
 use super::Simulation;
-use super::event::{Answer, Event};
+use super::event::{ClientResponse, Event};
 use crate::index::{AttemptIndex, BackendIndex, ClientAttemptIndex, IndexedVec, ProxyIndex, RequestIndex};
 use crate::report::{RequestOutcome, RequestRecord, Rule};
 use crate::workload::Workload;
 
-/// Each further attempt of a request moves on by this fraction of the proxies: the golden ratio spreads them evenly.
+/// Fraction of the proxies by which each further attempt of a request advances. The golden ratio spreads the attempts
+/// evenly.
 const PROXY_STEP: f64 = 0.618;
-/// The backoff doubles at most this often.
+/// Maximum number of times that the backoff doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 10;
-/// A client waits no longer than this for a proxy's Retry-After.
+/// Maximum time that a client waits because of a proxy's Retry-After.
 const MAX_RETRY_AFTER: Millis = 2000.0;
-/// A client does not retry with less time than this before its deadline.
-const MIN_REMAINING: Millis = 50.0;
+/// Minimum time before the deadline with which a client still retries.
+const MIN_RETRY_TIME: Millis = 50.0;
 
-/// An attempt of a client at a proxy.
+/// An attempt that a client makes at a proxy.
 pub(super) struct ClientAttempt {
     pub(super) request: RequestIndex,
     pub(super) proxy: ProxyIndex,
-    /// The incarnation of the proxy that it meets.
+    /// Incarnation of the proxy that receives the attempt.
     pub(super) incarnation: u32,
     pub(super) sent_at: Millis,
-    /// When the client gives it up.
+    /// Time at which the client gives the attempt up.
     pub(super) deadline: Millis,
-    /// The client still waits.
+    /// Whether the client still waits for a response.
     pub(super) open: bool,
-    /// The proxy has given its answer, or owes none any more.
-    pub(super) answered: bool,
-    /// The attempts that the proxy has made for it.
+    /// Whether the proxy has responded or no longer needs to respond.
+    pub(super) responded: bool,
+    /// The attempts at backends that the proxy has made for this attempt.
     pub(super) attempts: Vec<AttemptIndex>,
 }
 
-/// The state of a request.
+/// The progress of a request.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RequestProgress {
+    /// Number of attempts that the client has made.
     pub(super) attempts: u32,
     pub(super) finished: bool,
+    /// Whether the request was within the quota of its tenant on arrival.
     pub(super) within_quota: bool,
 }
 
-/// All clients.
+/// The attempts and requests of all clients.
 pub(super) struct Clients {
     pub(super) attempts: IndexedVec<ClientAttemptIndex, ClientAttempt>,
     pub(super) requests: IndexedVec<RequestIndex, RequestProgress>,
@@ -56,7 +59,7 @@
 }
 
 impl Simulation<'_> {
-    /// A request arrives; the next one is scheduled.
+    /// Handles the arrival of a request and schedules the next arrival.
     pub(super) fn request_arrives(&mut self, request: RequestIndex) {
         let next = RequestIndex(request.0 + 1);
         if let Some(next_request) = self.workload.requests.get(next) {
@@ -67,7 +70,7 @@
         self.start_attempt(request);
     }
 
-    /// A client sends an attempt.
+    /// Sends the next attempt of a request from its client.
     pub(super) fn start_attempt(&mut self, index: RequestIndex) {
         let workload = self.workload;
         let request = &workload.requests[index];
@@ -87,7 +90,7 @@
             sent_at: now,
             deadline,
             open: true,
-            answered: false,
+            responded: false,
             attempts: Vec::new(),
         });
         let latency = self.network.client_latency();
@@ -95,7 +98,7 @@
         self.events.schedule_at(deadline, Event::ClientGivesUp(attempt));
     }
 
-    /// When the client gives up an attempt that it sends now.
+    /// Returns the time at which the client gives up an attempt that it sends now.
     fn attempt_deadline(&self, index: RequestIndex) -> Millis {
         let request = &self.workload.requests[index];
         let time_to_deadline = self.workload.deadline(request.class);
@@ -107,9 +110,10 @@
         }
     }
 
+    /// Handles the arrival of a client attempt at its proxy.
     pub(super) fn reaches_proxy(&mut self, index: ClientAttemptIndex) {
         if !self.clients.attempts[index].open {
-            return; // its client has given up meanwhile
+            return; // the client has given up in the meantime
         }
         let proxy = self.clients.attempts[index].proxy;
         if !self.proxies[proxy].up {
@@ -132,19 +136,19 @@
         self.deliver(proxy, event);
     }
 
-    /// The connection between a client and its proxy breaks.
+    /// Breaks the connection between a client and its proxy.
     pub(super) fn break_connection(&mut self, index: ClientAttemptIndex) {
-        self.clients.attempts[index].answered = true;
-        self.send_to_client(index, Answer::ConnectionBroken);
+        self.clients.attempts[index].responded = true;
+        self.send_to_client(index, ClientResponse::ConnectionBroken);
     }
 
-    /// An answer goes out to its client.
-    pub(super) fn send_to_client(&mut self, index: ClientAttemptIndex, answer: Answer) {
+    /// Sends a response from a proxy to its client.
+    pub(super) fn send_to_client(&mut self, index: ClientAttemptIndex, response: ClientResponse) {
         let latency = self.network.client_latency();
-        self.events.schedule_after(latency, Event::ReachesClient(index, answer));
+        self.events.schedule_after(latency, Event::ReachesClient(index, response));
     }
 
-    /// A client gives an attempt up: it has timed out, or the client disconnects.
+    /// Handles a client giving an attempt up, because of a timeout or because the client disconnects.
     pub(super) fn client_gives_up(&mut self, index: ClientAttemptIndex) {
         if !self.clients.attempts[index].open {
             return;
@@ -154,8 +158,8 @@
         let disconnects = self.workload.requests[request].disconnects_after.is_some();
         let outcome =
             if disconnects { RequestOutcome::ClientDisconnected } else { self.observed_outcome(index) };
-        if !self.clients.attempts[index].answered {
-            self.close_unanswered(index, disconnects);
+        if !self.clients.attempts[index].responded {
+            self.close_without_response(index, disconnects);
         }
         if disconnects {
             let proxy = self.clients.attempts[index].proxy;
@@ -165,10 +169,10 @@
         }
     }
 
-    /// A client closes the connection of an attempt that its proxy has not answered.
-    fn close_unanswered(&mut self, index: ClientAttemptIndex, disconnects: bool) {
+    /// Closes the connection of a client attempt that its proxy has not responded to.
+    fn close_without_response(&mut self, index: ClientAttemptIndex, disconnects: bool) {
         let attempt = &mut self.clients.attempts[index];
-        attempt.answered = true;
+        attempt.responded = true;
         let proxy = attempt.proxy;
         let incarnation = attempt.incarnation;
         let request = attempt.request;
@@ -184,19 +188,20 @@
         self.deliver(proxy, ProxyEvent::ClientClosed(request_id(index)));
     }
 
-    pub(super) fn reaches_client(&mut self, index: ClientAttemptIndex, answer: Answer) {
+    /// Handles the arrival of a response at its client.
+    pub(super) fn reaches_client(&mut self, index: ClientAttemptIndex, response: ClientResponse) {
         let attempt = &mut self.clients.attempts[index];
         if !std::mem::replace(&mut attempt.open, false) {
             return;
         }
-        match answer {
-            Answer::Served => self.finish_served(index),
-            Answer::ConnectionBroken => self.retry_or_finish(index, RequestOutcome::ProxyDown, 0.0),
-            Answer::Rejected { retry_after } => {
+        match response {
+            ClientResponse::Served => self.finish_served(index),
+            ClientResponse::ConnectionBroken => self.retry_or_finish(index, RequestOutcome::ProxyDown, 0.0),
+            ClientResponse::Rejected { retry_after } => {
                 let outcome = self.observed_outcome(index);
                 self.retry_or_finish(index, outcome, retry_after);
             }
-            Answer::Failed => {
+            ClientResponse::Failed => {
                 let outcome = self.observed_outcome(index);
                 self.retry_or_finish(index, outcome, 0.0);
             }
@@ -211,7 +216,7 @@
         self.finish(attempt.request, outcome, attempt.proxy, self.last_backend(index));
     }
 
-    /// The client retries, if it has attempts and time left.
+    /// Schedules a retry if the client has attempts and time left; otherwise finishes the request.
     fn retry_or_finish(&mut self, index: ClientAttemptIndex, outcome: RequestOutcome, retry_after: Millis) {
         let attempt = &self.clients.attempts[index];
         let request_index = attempt.request;
@@ -223,19 +228,20 @@
         let backoff = mean_backoff * (0.5 + self.random.unit());
         let wait = backoff.max(retry_after.min(MAX_RETRY_AFTER));
         let request_deadline = request.arrives_at + self.workload.deadline(request.class);
-        let has_time = self.now() + wait < request_deadline - MIN_REMAINING;
+        let has_time = self.now() + wait < request_deadline - MIN_RETRY_TIME;
         if attempts <= self.workload.scenario.clients.max_retries && has_time {
             return self.events.schedule_after(wait, Event::RetryDue(request_index));
         }
         self.finish(request_index, outcome, proxy, self.last_backend(index));
     }
 
-    /// The backend of the last attempt that the proxy has made for a client's.
+    /// Returns the backend of the last attempt that the proxy has made for a client attempt.
     fn last_backend(&self, index: ClientAttemptIndex) -> Option<BackendIndex> {
         let last = self.clients.attempts[index].attempts.last()?;
         Some(self.attempts[*last].backend)
     }
 
+    /// Records the outcome of a request, unless the request is already finished.
     fn finish(
         &mut self, request: RequestIndex, outcome: RequestOutcome, proxy: ProxyIndex,
         backend: Option<BackendIndex>,
@@ -248,12 +254,12 @@
         self.recorder.requests.push(RequestRecord { request, outcome, proxy, backend, within_quota });
     }
 
-    /// Finishes a request that no proxy has; it counts for the first one.
+    /// Finishes a request that no proxy handles; it is recorded for the first proxy.
     fn finish_without_proxy(&mut self, request: RequestIndex, outcome: RequestOutcome) {
         self.finish(request, outcome, ProxyIndex(0), None);
     }
 
-    /// Finishes what is still open at the end of the run: it waits for an answer that did not come in all this time.
+    /// Finishes the requests that are still open at the end of the run, whose clients have not received a response.
     pub(super) fn finish_open_requests(&mut self) {
         for request in self.clients.requests.indices() {
             self.finish_without_proxy(request, RequestOutcome::QueuedAllBusy);
@@ -261,7 +267,7 @@
     }
 }
 
-/// The number by which a proxy knows a client's attempt.
+/// Returns the identifier that a proxy uses for a client attempt.
 pub(super) fn request_id(index: ClientAttemptIndex) -> RequestId {
     RequestId(index.0 as u64)
 }
--- a/crates/simulator/src/simulation/endpoint_lists.rs
+++ b/crates/simulator/src/simulation/endpoint_lists.rs
@@ -1,4 +1,4 @@
-//! How endpoint lists reach the proxies: between the model of discovery, the rule on drains and the policies.
+//! Passes endpoint lists and their changes between the discovery model, the drain rule and the policies.
 
 use leadrelay_core::{
     CallId, CellId, DiscoveryEvent, Endpoint, EndpointId, EndpointState, Event as ProxyEvent, ListScope,
@@ -14,7 +14,7 @@
 use crate::workload::Workload;
 
 impl Simulation<'_> {
-    /// A proxy that has just started gets its cached list.
+    /// Delivers the cached endpoint list to a proxy that has just started.
     pub(super) fn deliver_cached_list(&mut self, proxy: ProxyIndex) {
         self.drain_rule.proxy_started(self.now(), proxy);
         let entries = self.proxies[proxy].cached_list.clone();
@@ -23,21 +23,21 @@
         self.deliver(proxy, ProxyEvent::List { scope: ListScope::Cached, entries });
     }
 
-    /// Records of which starts of backends a proxy has been notified.
+    /// Records the starts of backends that a proxy has been notified of.
     fn record_known_starts(&mut self, proxy: ProxyIndex, entries: &[Endpoint]) {
         let starts =
             entries.iter().filter_map(|entry| Some((BackendIndex(entry.id.0 as usize), entry.started_at?)));
         self.proxies[proxy].known_starts.extend(starts);
     }
 
-    /// A backend's state changes; discovery gets the change after a delay.
+    /// Announces a new state of a backend, which reaches the discovery service after a delay.
     pub(super) fn announce(&mut self, backend: BackendIndex, state: EndpointState) {
         let entry = endpoint(backend, &self.backends[backend], state);
         let delay = self.workload.discovery.propagation_delay;
         self.events.schedule_after(delay, Event::DiscoveryUpdate(entry));
     }
 
-    /// Lets discovery do something and carries out what follows.
+    /// Runs an operation on the discovery service and applies the resulting effects.
     pub(super) fn with_discovery(
         &mut self, operation: impl FnOnce(&mut DiscoveryService, Millis, &mut Vec<Effect>),
     ) {
@@ -49,6 +49,7 @@
         }
     }
 
+    /// Applies an effect of the discovery service.
     fn apply(&mut self, effect: Effect) {
         let now = self.now();
         match effect {
@@ -89,7 +90,7 @@
         Caller { proxy, incarnation: self.proxies[proxy].incarnation }
     }
 
-    /// A proxy reads from a connection to discovery.
+    /// Handles a proxy reading an event from a connection to discovery.
     pub(super) fn discovery_read(&mut self, connection: ConnectionIndex, event: DiscoveryEvent) {
         let Some(Caller { proxy, incarnation }) = self.discovery.reader(connection) else { return };
         if !self.is_running(proxy, incarnation) {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Keeps the list as last received, for the next process.
+    /// Updates the list that the next process of a proxy starts with.
     fn update_cached_list(&mut self, proxy: ProxyIndex, complete: bool, entries: &[Endpoint]) {
         let list = &mut self.proxies[proxy].cached_list;
         if complete {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Discovery moves to another address, and each proxy is notified of that.
+    /// Moves discovery to another address and notifies each running proxy of the move.
     pub(super) fn move_discovery(&mut self) {
         self.with_discovery(|service, now, effects| service.move_address(now, effects));
         for proxy in self.proxies.indices() {
@@ -135,13 +136,13 @@
         }
     }
 
-    /// The watches of these proxies are reset.
+    /// Resets the watches of some proxies.
     pub(super) fn reset_watches(&mut self, proxies: &[ProxyIndex]) {
         let is_affected = |proxy: ProxyIndex| proxies.contains(&proxy);
         self.with_discovery(|service, now, effects| service.reset_watches(now, is_affected, effects));
     }
 
-    /// The watches of these proxies stall.
+    /// Stalls the watches of some proxies.
     pub(super) fn stall_watches(&mut self, proxies: &[ProxyIndex]) {
         for proxy in self.discovery.stall_watches(|proxy| proxies.contains(&proxy)) {
             self.drain_rule.watch_stalled(self.now(), proxy);
@@ -149,7 +150,7 @@
     }
 }
 
-/// What a policy gets that does not observe its calls.
+/// Converts a discovery event for a policy that does not observe its calls; returns `None` for an event without a list.
 fn as_list(event: DiscoveryEvent) -> Option<ProxyEvent> {
     match event {
         DiscoveryEvent::Update { complete, entries, .. } => {
@@ -166,7 +167,7 @@
     }
 }
 
-/// A backend's entry of the endpoint list.
+/// Builds the entry of a backend on the endpoint list.
 pub(super) fn endpoint(index: BackendIndex, backend: &Backend, state: EndpointState) -> Endpoint {
     let machine = &backend.machine;
     Endpoint {
@@ -180,7 +181,7 @@
     }
 }
 
-/// The parameters of a workload's discovery.
+/// Returns the parameters of the discovery service of a workload.
 pub(super) fn discovery_parameters(workload: &Workload) -> DiscoveryParameters {
     let spec = &workload.scenario.discovery;
     DiscoveryParameters {
--- a/crates/simulator/src/simulation/event.rs
+++ b/crates/simulator/src/simulation/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a run, each at its time.
+//! The events of a run, which are scheduled in simulated time.
 
 use leadrelay_core::{DiscoveryEvent, Endpoint, Millis, Outcome};
 
@@ -7,23 +7,23 @@
     AttemptIndex, BackendIndex, ClientAttemptIndex, ConnectionIndex, FaultIndex, ProxyIndex, RequestIndex,
 };
 
-/// What a client gets for an attempt.
+/// The response that a client receives to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Answer {
-    /// A response.
+pub(super) enum ClientResponse {
+    /// A response of a backend.
     Served,
     /// A rejection.
     Rejected {
-        /// The client should wait for this time before it retries.
+        /// Time that the client should wait before a retry.
         retry_after: Millis,
     },
-    /// An error.
+    /// An error response of the proxy; the request may have been executed.
     Failed,
-    /// No answer: the connection to the proxy broke.
+    /// No response, because the connection to the proxy broke.
     ConnectionBroken,
 }
 
-/// What happens in a run.
+/// An event of a run.
 pub(super) enum Event {
     /// The first attempt of a request is due.
     RequestArrives(RequestIndex),
@@ -31,44 +31,44 @@
     RetryDue(RequestIndex),
     /// A client's attempt reaches its proxy.
     ReachesProxy(ClientAttemptIndex),
-    /// A client gives an attempt up.
+    /// A client gives an attempt up because of a timeout or a disconnect.
     ClientGivesUp(ClientAttemptIndex),
-    /// An answer reaches its client.
-    ReachesClient(ClientAttemptIndex, Answer),
+    /// A response reaches its client.
+    ReachesClient(ClientAttemptIndex, ClientResponse),
     /// A timer of a proxy has expired.
     Timer { proxy: ProxyIndex, incarnation: u32, token: u64 },
     /// A proxy's attempt reaches its backend.
     ReachesBackend(AttemptIndex),
-    /// A backend completes a request, unless it has changed since that was planned.
+    /// A backend completes a request, unless the backend has changed since this event was scheduled.
     BackendCompletes { backend: BackendIndex, generation: u64 },
     /// A proxy sees the end of an attempt.
     AttemptEnded(AttemptIndex, Outcome),
     /// A gossip message reaches its receivers.
     Gossip { from: ProxyIndex, bytes: Vec<u8> },
-    /// Discovery does something that it has planned.
+    /// The discovery service performs a scheduled step.
     DiscoveryStep(Step),
     /// A proxy reads from a connection to discovery.
     DiscoveryRead { connection: ConnectionIndex, event: DiscoveryEvent },
-    /// Discovery gets a change.
+    /// The discovery service receives a change of an endpoint.
     DiscoveryUpdate(Endpoint),
-    /// The true state is copied for policies that see it late.
+    /// The true state is copied for policies that see it with a delay.
     SnapshotDue,
     /// A fault starts.
     FaultStarts(FaultIndex),
     /// A fault ends.
     FaultEnds(FaultIndex),
-    /// A proxy shuts down gracefully: clients are sent elsewhere.
+    /// A proxy starts a graceful shutdown: clients are directed to other proxies.
     ProxyDrains(ProxyIndex),
-    /// A proxy's process ends.
+    /// The process of a proxy stops.
     ProxyStops(ProxyIndex),
-    /// A proxy's next process starts.
+    /// A new process of a proxy starts.
     ProxyRecovers(ProxyIndex),
     /// A backend is replaced by a new one.
     BackendReplaced(BackendIndex),
     /// A backend's drain is announced.
     BackendDrains(BackendIndex),
-    /// A backend's process ends, and it is removed from the list.
+    /// The process of a backend stops, and the backend is removed from the endpoint list.
     BackendRemoved(BackendIndex),
-    /// A backend's next process starts.
+    /// A new process of a backend starts.
     BackendRestarts(BackendIndex),
 }
--- a/crates/simulator/src/simulation/event_queue.rs
+++ b/crates/simulator/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! Simulated time: events in the order of their times, those of one time in the order in which they were scheduled.
+//! Simulated time: a queue of events, ordered by time and, for equal times, by the order in which they were scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -15,7 +15,7 @@
 }
 
 impl Ord for ScheduledEvent {
-    /// The earliest is the greatest, as the heap yields its greatest item first.
+    /// Orders the earliest event as the greatest, because a `BinaryHeap` pops its greatest item first.
     fn cmp(&self, other: &Self) -> Ordering {
         other.at.cmp(&self.at).then(other.sequence.cmp(&self.sequence))
     }
@@ -35,7 +35,7 @@
 
 impl Eq for ScheduledEvent {}
 
-/// The clock and the events to come.
+/// The simulated clock and the scheduled events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     now: Millis,
@@ -44,12 +44,12 @@
 }
 
 impl EventQueue {
-    /// The present time.
+    /// Returns the current simulated time.
     pub(super) fn now(&self) -> Millis {
         self.now
     }
 
-    /// Schedules an event for a time; one in the past becomes due at once.
+    /// Schedules an event for a point in time; an event in the past is due immediately.
     pub(super) fn schedule_at(&mut self, at: Millis, event: Event) {
         let at = OrderedTime(at.max(self.now));
         self.scheduled.push(ScheduledEvent { at, sequence: self.next_sequence, event });
@@ -61,7 +61,7 @@
         self.schedule_at(self.now + delay, event);
     }
 
-    /// Takes out the next event, if it is due by `end`, and sets the clock to its time.
+    /// Removes the next event and sets the clock to its time; returns `None` if no event is due by `end`.
     pub(super) fn next_until(&mut self, end: Millis) -> Option<Event> {
         let next = self.scheduled.pop()?;
         if next.at.0 > end {
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -11,13 +11,13 @@
 use crate::time::MS_PER_S;
 use crate::workload::Fault;
 
-/// A proxy that restarts by plan takes requests for this time after clients are sent elsewhere.
+/// Time between the start of the graceful shutdown of a proxy and the stop of its process.
 const PROXY_DRAIN_PERIOD: Millis = 1500.0;
-/// How much longer than planned a proxy may stay down, as a fraction.
+/// Maximum fraction by which the downtime of a killed proxy exceeds the magnitude of the fault.
 const RECOVERY_SPREAD: f64 = 0.2;
-/// The most of all traffic that skewed proxies get.
+/// Maximum fraction of the total traffic that the proxies of a traffic skew receive.
 const MAX_SKEW: f64 = 0.95;
-/// The zone that an outage of a zone affects.
+/// The zone that a zone outage affects.
 const FAILED_ZONE: ZoneIndex = ZoneIndex(0);
 
 impl Simulation<'_> {
@@ -50,7 +50,7 @@
                 self.reset_watches(&proxies);
             }
             FaultKind::DrainBackends => self.drain_backends(index, fault),
-            // Sampled with the requests.
+            // Bursts take effect when the requests of the workload are sampled.
             FaultKind::Burst | FaultKind::TenantBurst => {}
         }
     }
@@ -58,7 +58,7 @@
     pub(super) fn fault_ends(&mut self, index: FaultIndex) {
         let fault = &self.workload.faults[index];
         match fault.kind {
-            FaultKind::CutZone => self.network.heal(),
+            FaultKind::CutZone => self.network.end_partition(),
             FaultKind::SilentBackends | FaultKind::FailingBackends | FaultKind::SlowBackends => {
                 self.set_backend_fault(index, fault, false);
             }
@@ -70,12 +70,12 @@
         }
     }
 
-    /// The random stream of a fault.
+    /// Creates the random stream of a fault.
     fn fault_random(&self, index: FaultIndex) -> RandomStream {
         RandomStream::new(self.workload.seed, &format!("fault {index}"))
     }
 
-    /// The targets of a fault among `count` of them, sampled for this fault alone.
+    /// Samples the targets of a fault among `count` possible ones, with a random stream that only this fault uses.
     fn affected<I: Index>(&self, index: FaultIndex, fault: &Fault, count: usize) -> Vec<I> {
         let mut random = self.fault_random(index);
         let affected = fault.affected(count);
@@ -92,7 +92,7 @@
         self.affected(index, fault, self.proxies.len())
     }
 
-    /// Replacements of backends are not affected.
+    /// Samples the backends that a fault affects. Backends that replaced others during the run are excluded.
     fn affected_backends(&self, index: FaultIndex, fault: &Fault) -> Vec<BackendIndex> {
         self.affected(index, fault, self.workload.machines.len())
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The backends that a fault affects one after another, each with its time.
+    /// Returns the backends that a fault affects one after another, each with its time.
     fn affected_backends_in_turn(&self, index: FaultIndex, fault: &Fault) -> Vec<(Millis, BackendIndex)> {
         let backends = self.affected_backends(index, fault);
         let count = backends.len().max(1) as f64;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Backends get a fault or recover from it.
+    /// Starts or ends a fault of backends.
     fn set_backend_fault(&mut self, index: FaultIndex, fault: &Fault, active: bool) {
         for affected in self.affected_backends(index, fault) {
             let backend = &mut self.backends[affected];
@@ -177,7 +177,7 @@
     }
 }
 
-/// The time of the target at a position, if all targets are spread evenly over the fault.
+/// Returns the time for the target at a position when `count` targets are spread evenly over the duration of a fault.
 fn evenly_spaced(fault: &Fault, position: usize, count: f64) -> Millis {
     fault.start + (fault.end - fault.start) * position as f64 / count
 }
--- a/crates/simulator/src/simulation/front.rs
+++ b/crates/simulator/src/simulation/front.rs
@@ -1,42 +1,42 @@
-//! The front: which proxy gets a client's attempt.
+//! The front-end load balancer, which selects the proxy for each attempt of a client.
 
 use leadrelay_core::Millis;
 
 use super::proxies::Proxy;
 use crate::index::{IndexedVec, ProxyIndex, ZoneIndex};
 
-/// Keeps a division defined where the skewed proxies get all traffic.
-const MIN_REMAINDER: f64 = 1e-9;
+/// Lower bound of a divisor, which avoids a division by zero if the skewed proxies get all traffic.
+const MIN_DIVISOR: f64 = 1e-9;
 
-/// Proxies that get more than their part of the traffic.
+/// A group of consecutive proxies that gets a fixed fraction of the traffic.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TrafficSkew {
-    /// The first of them; the others follow it.
+    /// First proxy of the group; the others follow in index order.
     pub(super) first: ProxyIndex,
-    /// How many they are.
+    /// Number of proxies in the group.
     pub(super) count: usize,
-    /// Their fraction of all traffic.
+    /// Fraction of the total traffic that the group gets.
     pub(super) fraction: f64,
 }
 
-/// The load balancer in front of the proxies. It leaves out those that drain or are known to be down.
+/// The load balancer in front of the proxies. It excludes proxies that are draining or have been detected as down.
 pub(super) struct Front {
-    /// For this time it still sends to a proxy that has crashed.
-    detection: Millis,
+    /// Time after the crash of a proxy for which the load balancer still sends to it.
+    detection_delay: Millis,
     skew: Option<TrafficSkew>,
 }
 
 impl Front {
-    pub(super) fn new(detection: Millis) -> Self {
-        Front { detection, skew: None }
+    pub(super) fn new(detection_delay: Millis) -> Self {
+        Front { detection_delay, skew: None }
     }
 
-    /// Sets or ends a skew of the traffic.
+    /// Sets the traffic skew; `None` ends it.
     pub(super) fn set_skew(&mut self, skew: Option<TrafficSkew>) {
         self.skew = skew;
     }
 
-    /// The proxy at a position, in [0, 1), among those of a zone; of other zones if the zone has none.
+    /// Selects the proxy at a position in [0, 1) among the proxies of a zone, or among all if none there is eligible.
     pub(super) fn select(
         &self, proxies: &IndexedVec<ProxyIndex, Proxy>, now: Millis, zone: ZoneIndex, position: f64,
     ) -> Option<ProxyIndex> {
@@ -46,7 +46,7 @@
                 let offset = (position / skew.fraction * skew.count as f64) as usize;
                 return Some(ProxyIndex((skew.first.0 + offset) % proxies.len()));
             }
-            position = (position - skew.fraction) / (1.0 - skew.fraction).max(MIN_REMAINDER);
+            position = (position - skew.fraction) / (1.0 - skew.fraction).max(MIN_DIVISOR);
         }
         let is_zone_served = proxies.iter().any(|proxy| proxy.zone == zone && self.sends_to(proxy, now));
         let candidates = || {
@@ -63,7 +63,8 @@
         selected.map(|(index, _)| index)
     }
 
+    /// Whether a proxy is eligible for traffic.
     fn sends_to(&self, proxy: &Proxy, now: Millis) -> bool {
-        !proxy.draining && (proxy.up || now - proxy.crashed_at < self.detection)
+        !proxy.draining && (proxy.up || now - proxy.crashed_at < self.detection_delay)
     }
 }
--- a/crates/simulator/src/simulation/invariants.rs
+++ b/crates/simulator/src/simulation/invariants.rs
@@ -1,9 +1,9 @@
-//! The rules that sends and answers are checked against.
+//! Checks of sends and responses against the rules.
 
 use leadrelay_core::Millis;
 
 use super::Simulation;
-use super::event::Answer;
+use super::event::ClientResponse;
 use crate::index::{BackendIndex, ClientAttemptIndex, ProxyIndex};
 use crate::report::{Rule, Violation};
 use crate::scenario::RequestIdempotency;
@@ -18,12 +18,12 @@
     pub(super) fn check_send(&mut self, index: ClientAttemptIndex, backend: BackendIndex) {
         let details = format!("client attempt {index}, backend {backend}");
         let attempts = &self.clients.attempts[index].attempts;
-        let is_one_in_flight = attempts.iter().any(|attempt| !self.attempts[*attempt].ended);
-        let has_max_attempts = attempts.len() >= MAX_ATTEMPTS;
-        if is_one_in_flight {
+        let has_attempt_in_flight = attempts.iter().any(|attempt| !self.attempts[*attempt].ended);
+        let is_attempt_limit_reached = attempts.len() >= MAX_ATTEMPTS;
+        if has_attempt_in_flight {
             self.record_violation(Rule::OneAttemptInFlight, details.clone());
         }
-        if has_max_attempts {
+        if is_attempt_limit_reached {
             self.record_violation(Rule::MaxAttempts, details.clone());
         }
         if !self.may_execute(index, backend) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether a request may be executed at a backend, after its earlier attempts.
+    /// Whether a request may be executed at a backend, given its earlier attempts and its idempotency.
     fn may_execute(&self, index: ClientAttemptIndex, backend: BackendIndex) -> bool {
         let client_attempt = &self.clients.attempts[index];
         let mut attempts = client_attempt.attempts.iter().map(|attempt| &self.attempts[*attempt]);
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Checks a send against the rule on drains, by the time of its first byte.
+    /// Checks a send against the drain rule, which applies to the time of its first byte.
     pub(super) fn check_drain(&mut self, proxy: ProxyIndex, backend: BackendIndex, first_byte: Millis) {
         if let Err(violation) = self.drain_rule.check(proxy, backend, first_byte) {
             self.record_violation(Rule::NoSendAfterDrain, violation.to_string());
@@ -56,12 +56,12 @@
     }
 
     /// Checks that a rejected request was not executed, unless it is idempotent.
-    pub(super) fn check_answer(&mut self, index: ClientAttemptIndex, answer: Answer) {
+    pub(super) fn check_response(&mut self, index: ClientAttemptIndex, response: ClientResponse) {
         let client_attempt = &self.clients.attempts[index];
         let class = self.workload.requests[client_attempt.request].class;
         let may_have_run = client_attempt.attempts.iter().any(|attempt| self.attempts[*attempt].may_have_run);
         let is_idempotent = self.workload.idempotency(class) == RequestIdempotency::Idempotent;
-        if matches!(answer, Answer::Rejected { .. }) && may_have_run && !is_idempotent {
+        if matches!(response, ClientResponse::Rejected { .. }) && may_have_run && !is_idempotent {
             self.record_violation(Rule::RejectOnlyUnexecuted, format!("client attempt {index}"));
         }
     }
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,7 +1,7 @@
-//! A run of a workload in simulated time: one queue of events, one thread, all randomness from the seed.
+//! A run of a workload in simulated time, on one thread with one event queue. All random numbers derive from the seed.
 //!
-//! Not modelled, beside what the models say: processor time of a proxy, sizes of bodies, idle connections that are
-//! closed, slow or malformed clients.
+//! Not modelled, in addition to the limits that each model documents: processor time of a proxy, body sizes, closing of
+//! idle connections, slow clients and malformed requests.
 
 mod attempts;
 mod backends;
@@ -39,16 +39,16 @@
 use crate::slow_start::SlowStartMonitor;
 use crate::workload::Workload;
 
-/// The age at which policies see the true state late, at most.
+/// Interval between snapshots of the true state, which is the maximum age of the delayed state.
 const SNAPSHOT_INTERVAL: Millis = 500.0;
-/// The run goes on for this time after the last arrival.
-const TAIL: Millis = 8000.0;
+/// Time for which the run continues after the period of arrivals.
+const RUN_EXTENSION: Millis = 8000.0;
 
 /// Creates the policy of a proxy from a seed.
 pub type PolicyFactory<'a> = dyn Fn(ProxyIndex, u64) -> Box<dyn Policy> + 'a;
 
-/// Runs a workload by the decisions of these policies; `name` is the version in the result. The same workload and
-/// policies give the same result.
+/// Runs a workload with the policies that a factory creates; `name` is the version in the result. The same workload and
+/// policies yield the same result.
 pub fn simulate_with(workload: &Workload, name: &str, policy_factory: &PolicyFactory<'_>) -> RunResult {
     let mut simulation = Simulation::new(workload, policy_factory);
     simulation.run();
@@ -70,13 +70,14 @@
     discovery: DiscoveryService,
     drain_rule: DrainRule,
     slow_start: SlowStartMonitor,
-    /// What policies see that see the true state at present ...
+    /// The true state of the fleet at the current time.
     true_state: TrueState,
-    /// ... and late.
+    /// The true state as of the last snapshot, for policies that see it with a delay.
     delayed_state: TrueState,
     recorder: Recorder,
+    /// Seeds of the policies.
     policy_seeds: RandomStream,
-    /// Randomness of clients, backends and faults.
+    /// Random numbers of clients, backends and faults.
     random: RandomStream,
     /// Reused for each delivery to a policy.
     actions: Vec<Action>,
@@ -108,7 +109,7 @@
             events: EventQueue::default(),
             clients: Clients::new(workload),
             quotas: TenantQuotas::new(&workload.tenant_quotas),
-            front: Front::new(workload.front_detection),
+            front: Front::new(workload.front_detection_delay),
             proxies,
             network: Network::new(workload),
             attempts: IndexedVec::default(),
@@ -137,7 +138,7 @@
             self.deliver_cached_list(proxy);
         }
         self.schedule_workload();
-        let end = self.workload.duration + TAIL;
+        let end = self.workload.duration + RUN_EXTENSION;
         while let Some(event) = self.events.next_until(end) {
             self.handle(event);
         }
@@ -167,7 +168,7 @@
             Event::RetryDue(request) => self.start_attempt(request),
             Event::ReachesProxy(attempt) => self.reaches_proxy(attempt),
             Event::ClientGivesUp(attempt) => self.client_gives_up(attempt),
-            Event::ReachesClient(attempt, answer) => self.reaches_client(attempt, answer),
+            Event::ReachesClient(attempt, response) => self.reaches_client(attempt, response),
             Event::Timer { proxy, incarnation, token } => {
                 if self.is_running(proxy, incarnation) {
                     self.deliver(proxy, ProxyEvent::Timer(token));
@@ -196,13 +197,13 @@
         }
     }
 
-    /// Records what is known at the end of the run only.
+    /// Records the totals that are only known at the end of the run.
     fn record_totals(&mut self) {
         let cores: f64 = self.workload.machines.iter().map(|machine| machine.cores).sum();
-        let busy: f64 = self.backends.iter().map(|backend| backend.busy).sum();
+        let busy_core_time: f64 = self.backends.iter().map(|backend| backend.busy_core_time).sum();
         let calls = self.discovery.counts();
         let counters = &mut self.recorder.counters;
-        counters.utilisation = busy / (cores * self.workload.duration);
+        counters.utilisation = busy_core_time / (cores * self.workload.duration);
         counters.discovery_calls = calls.calls;
         counters.discovery_calls_failed = calls.failed;
         self.recorder.slow_start = self.slow_start.report();
--- a/crates/simulator/src/simulation/network.rs
+++ b/crates/simulator/src/simulation/network.rs
@@ -6,13 +6,13 @@
 use crate::random::RandomStream;
 use crate::workload::{MeanLatencies, Workload};
 
-/// Latencies, losses and a partition.
+/// The state of the network: latencies, loss of datagrams and a partition.
 pub(super) struct Network {
     latencies: MeanLatencies,
     /// Coefficient of variation of a one-way latency.
     jitter: f64,
     gossip_loss: f64,
-    /// The zone that is cut off from the others.
+    /// The zone that is currently partitioned from the others.
     partitioned: Option<ZoneIndex>,
     random: RandomStream,
 }
@@ -48,22 +48,22 @@
         mean * self.random.lognormal(self.jitter)
     }
 
-    /// Samples whether a datagram is lost for one receiver.
+    /// Samples whether a datagram is lost on its way to one receiver.
     pub(super) fn loses_datagram(&mut self) -> bool {
         self.random.chance(self.gossip_loss)
     }
 
-    /// Cuts a zone off from the others.
+    /// Partitions a zone from the others.
     pub(super) fn partition(&mut self, zone: ZoneIndex) {
         self.partitioned = Some(zone);
     }
 
     /// Ends the partition.
-    pub(super) fn heal(&mut self) {
+    pub(super) fn end_partition(&mut self) {
         self.partitioned = None;
     }
 
-    /// Whether two zones can't reach each other.
+    /// Whether a partition separates two zones.
     pub(super) fn is_partitioned(&self, one: ZoneIndex, other: ZoneIndex) -> bool {
         one != other && self.partitioned.is_some_and(|zone| zone == one || zone == other)
     }
--- a/crates/simulator/src/simulation/outcomes.rs
+++ b/crates/simulator/src/simulation/outcomes.rs
@@ -1,20 +1,21 @@
-//! What a request met, judged by the true state.
+//! Classifies the outcome of a request according to the true state.
 
 use super::Simulation;
 use super::attempts::Attempt;
 use crate::index::ClientAttemptIndex;
 use crate::report::RequestOutcome;
 
-/// A request that waited for more than this fraction of its useful time was queued, not rejected.
+/// Fraction of its useful time above which the wait of a request counts as queueing instead of rejection.
 const QUEUED_FRACTION: f64 = 0.5;
 
 impl Simulation<'_> {
-    /// What the last attempt for a client's met; without one, whether it was queued or rejected.
+    /// Returns the outcome of the last attempt at a backend for a client attempt; without such an attempt, whether the
+    /// request was queued or rejected.
     pub(super) fn observed_outcome(&self, index: ClientAttemptIndex) -> RequestOutcome {
         let client_attempt = &self.clients.attempts[index];
         if let Some(last) = client_attempt.attempts.last() {
             let attempt = &self.attempts[*last];
-            return attempt.observed.unwrap_or_else(|| self.unanswered_outcome(attempt));
+            return attempt.observed.unwrap_or_else(|| self.outcome_without_response(attempt));
         }
         let request = &self.workload.requests[client_attempt.request];
         let objective = self.workload.latency_objective(request.class);
@@ -30,8 +31,8 @@
         }
     }
 
-    /// Why an attempt has no answer yet.
-    pub(super) fn unanswered_outcome(&self, attempt: &Attempt) -> RequestOutcome {
+    /// Returns the reason why an attempt has had no response so far.
+    pub(super) fn outcome_without_response(&self, attempt: &Attempt) -> RequestOutcome {
         let backend = &self.backends[attempt.backend];
         let proxy = self.clients.attempts[attempt.client_attempt].proxy;
         if self.network.is_partitioned(self.proxies[proxy].zone, backend.machine.zone) {
--- a/crates/simulator/src/simulation/proxies.rs
+++ b/crates/simulator/src/simulation/proxies.rs
@@ -1,10 +1,11 @@
-//! Proxies: what reaches their policies, what these decide, and the starts and ends of the processes.
+//! Proxies: delivery of events to their policies, execution of the resulting actions, and starts and stops of the
+//! processes.
 
 use leadrelay_core::{Action, Endpoint, Event as ProxyEvent, Millis};
 use rustc_hash::FxHashMap;
 
 use super::Simulation;
-use super::event::{Answer, Event};
+use super::event::{ClientResponse, Event};
 use crate::index::{BackendIndex, ClientAttemptIndex, ProxyIndex, ZoneIndex};
 use crate::policy::{FleetView, Policy};
 use crate::report::Rule;
@@ -12,24 +13,25 @@
 /// The largest gossip message, in bytes.
 const MAX_GOSSIP_BYTES: usize = 256;
 
-/// A proxy in a run.
+/// The simulated state of a proxy.
 pub(super) struct Proxy {
     pub(super) zone: ZoneIndex,
-    /// Its weight in its zone's front.
+    /// Weight of the proxy in the front-end load balancer of its zone.
     pub(super) front_weight: f64,
-    /// Its process runs.
+    /// Whether the process is running.
     pub(super) up: bool,
-    /// How often it has been restarted.
+    /// Number of restarts so far.
     pub(super) incarnation: u32,
+    /// Time at which the process last stopped; negative infinity if it never has.
     pub(super) crashed_at: Millis,
-    /// It shuts down gracefully: clients are sent elsewhere.
+    /// Whether the proxy is shutting down gracefully: clients are directed to other proxies.
     pub(super) draining: bool,
     pub(super) policy: Box<dyn Policy>,
-    /// Connections that no request uses.
+    /// Number of open connections to each backend that no request uses.
     pub(super) idle_connections: FxHashMap<BackendIndex, u32>,
-    /// The list as last received.
+    /// The endpoint list as last received, which the next process starts with.
     pub(super) cached_list: Vec<Endpoint>,
-    /// The last start of each backend that it has been notified of.
+    /// Time of the last start of each backend that the proxy has been notified of.
     pub(super) known_starts: FxHashMap<BackendIndex, Millis>,
 }
 
@@ -47,12 +49,12 @@
 }
 
 impl Simulation<'_> {
-    /// Whether that incarnation of a proxy still runs.
+    /// Whether the given incarnation of a proxy is still running.
     pub(super) fn is_running(&self, proxy: ProxyIndex, incarnation: u32) -> bool {
         self.proxies[proxy].up && self.proxies[proxy].incarnation == incarnation
     }
 
-    /// Gives a proxy an event and carries out what its policy decides.
+    /// Delivers an event to the policy of a proxy and performs the resulting actions.
     pub(super) fn deliver(&mut self, proxy: ProxyIndex, event: ProxyEvent) {
         self.recorder.counters.events += 1;
         let now = self.now();
@@ -64,7 +66,7 @@
         if policy.violations() > violations {
             self.record_violation(Rule::PolicyInvariants, format!("proxy {proxy}"));
         }
-        // What follows from an action is an event of its own, so that this function is never entered twice.
+        // The consequences of an action are scheduled as separate events, so this function is never reentered.
         for action in actions.drain(..) {
             self.perform(proxy, action);
         }
@@ -81,11 +83,11 @@
             Action::Reject { request, retry_after, .. } => {
                 let has_no_list = self.now() >= self.proxies[proxy].policy.list_valid_until();
                 self.recorder.counters.rejected_without_list += u64::from(has_no_list);
-                let answer = Answer::Rejected { retry_after: retry_after.unwrap_or(0.0) };
-                self.answer(ClientAttemptIndex(request.0 as usize), answer);
+                let response = ClientResponse::Rejected { retry_after: retry_after.unwrap_or(0.0) };
+                self.respond(ClientAttemptIndex(request.0 as usize), response);
             }
             Action::Fail(request) => {
-                self.answer(ClientAttemptIndex(request.0 as usize), Answer::Failed);
+                self.respond(ClientAttemptIndex(request.0 as usize), ClientResponse::Failed);
             }
             Action::Timer { token, at } => {
                 self.events.schedule_at(at, Event::Timer { proxy, incarnation, token });
@@ -96,14 +98,14 @@
         }
     }
 
-    /// A proxy gives its final answer.
-    fn answer(&mut self, index: ClientAttemptIndex, answer: Answer) {
+    /// Sends the final response of a proxy to a client attempt.
+    fn respond(&mut self, index: ClientAttemptIndex, response: ClientResponse) {
         let client_attempt = &mut self.clients.attempts[index];
-        if std::mem::replace(&mut client_attempt.answered, true) {
+        if std::mem::replace(&mut client_attempt.responded, true) {
             return self.record_violation(Rule::OneFinalAnswer, format!("client attempt {index}"));
         }
-        self.check_answer(index, answer);
-        self.send_to_client(index, answer);
+        self.check_response(index, response);
+        self.send_to_client(index, response);
     }
 
     fn broadcast(&mut self, from: ProxyIndex, bytes: Vec<u8>) {
@@ -117,7 +119,7 @@
         self.events.schedule_after(latency, Event::Gossip { from, bytes });
     }
 
-    /// A gossip message reaches every proxy that it is not lost for.
+    /// Delivers a gossip message to every reachable proxy, except where the datagram is lost.
     pub(super) fn gossip_arrives(&mut self, from: ProxyIndex, bytes: &[u8]) {
         let zone = self.proxies[from].zone;
         for proxy in self.proxies.indices() {
@@ -129,7 +131,7 @@
         }
     }
 
-    /// A proxy starts a graceful shutdown.
+    /// Starts the graceful shutdown of a proxy.
     pub(super) fn proxy_drains(&mut self, proxy: ProxyIndex) {
         self.proxies[proxy].draining = true;
         if self.proxies[proxy].up {
@@ -137,7 +139,7 @@
         }
     }
 
-    /// A proxy's process ends: its connections break.
+    /// Stops the process of a proxy, which breaks its connections.
     pub(super) fn proxy_stops(&mut self, index: ProxyIndex) {
         let now = self.now();
         let proxy = &mut self.proxies[index];
@@ -153,14 +155,14 @@
         self.discovery.close_connections(index);
         for client_attempt in self.clients.attempts.indices() {
             let waiting = &self.clients.attempts[client_attempt];
-            let is_here = waiting.proxy == index && waiting.incarnation == incarnation;
-            if is_here && waiting.open && !waiting.answered {
+            let was_connected = waiting.proxy == index && waiting.incarnation == incarnation;
+            if was_connected && waiting.open && !waiting.responded {
                 self.break_connection(client_attempt);
             }
         }
     }
 
-    /// A proxy's next process starts.
+    /// Starts a new process of a proxy, with a new policy and the cached endpoint list.
     pub(super) fn proxy_recovers(&mut self, index: ProxyIndex) {
         let seed = self.policy_seeds.seed();
         let proxy = &mut self.proxies[index];
--- a/crates/simulator/src/time.rs
+++ b/crates/simulator/src/time.rs
@@ -1,4 +1,4 @@
-//! Units of time, and points in time that can be ordered in a heap.
+//! Units of time, and a time type with a total order.
 
 use std::cmp::Ordering;
 
@@ -7,7 +7,7 @@
 /// Milliseconds in a second.
 pub const MS_PER_S: f64 = 1000.0;
 
-/// A point in time with a total order.
+/// A point in time with a total order, for use in a heap.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OrderedTime(pub Millis);
 
--- a/crates/simulator/src/workload/fleet.rs
+++ b/crates/simulator/src/workload/fleet.rs
@@ -1,4 +1,4 @@
-//! Samples machines, proxies and zones.
+//! Samples the machines, the proxies and the distribution of traffic over zones.
 
 use leadrelay_core::CellId;
 
@@ -8,13 +8,13 @@
 use crate::scenario::Scenario;
 use crate::time::MS_PER_S;
 
-/// Backends that deduplicate each other's requests.
+/// Number of backends in a cell, which share the deduplication of requests.
 const CELL_SIZE: usize = 4;
-/// Coefficient of variation of the weights on the list around the true capacity.
+/// Coefficient of variation of the weights on the endpoint list relative to the true capacity.
 const WEIGHT_VARIATION: f64 = 0.15;
-/// The least weight on the list.
+/// Minimum weight on the endpoint list.
 const MIN_WEIGHT: f64 = 0.05;
-/// The least fraction of its capacity that a machine starts with.
+/// Minimum fraction of the full capacity that a machine has at the beginning of slow start.
 const MIN_INITIAL_CAPACITY: f64 = 0.01;
 
 pub(super) fn sample_machines(
@@ -78,7 +78,7 @@
     (0..scenario.proxies).map(sample).collect()
 }
 
-/// Each zone's fraction of the traffic.
+/// Samples each zone's fraction of the traffic.
 pub(super) fn sample_zone_fractions(zones: usize, skew: f64, random: &mut RandomStream) -> Vec<f64> {
     let sample = |_| 1.0 + skew * (2.0 * random.unit() - 1.0);
     let mut fractions: Vec<f64> = (0..zones).map(sample).collect();
@@ -89,7 +89,7 @@
     fractions
 }
 
-/// Distributes `count` things by shares; returns the index of the share that each belongs to, in order.
+/// Apportions `count` items according to shares; returns the index of the share that each item belongs to, in order.
 fn apportion(count: usize, shares: &[f64]) -> Vec<usize> {
     let total: f64 = shares.iter().sum();
     let mut assigned = Vec::with_capacity(count);
--- a/crates/simulator/src/workload/mod.rs
+++ b/crates/simulator/src/workload/mod.rs
@@ -1,5 +1,5 @@
-//! A workload: the fleet, the requests and the faults of one run, sampled from a scenario by a seed. Nothing in it
-//! depends on what proxies decide.
+//! A workload: the fleet, the requests and the faults of one run, sampled from a scenario with a seed. It does not
+//! depend on the decisions of the proxies.
 
 mod fleet;
 mod requests;
@@ -14,112 +14,112 @@
 use crate::scenario::{FaultKind, FaultSpec, RequestIdempotency, Scenario};
 use crate::time::MS_PER_S;
 
-/// What a backend runs on.
+/// The machine that a backend runs on.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: ZoneIndex,
-    /// Its class.
+    /// Machine class.
     pub machine_class: MachineClassIndex,
-    /// Its cell.
+    /// Cell of the machine, within which requests are deduplicated.
     pub cell: CellId,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Speed of each, relative to a standard core.
+    /// Speed of each core, relative to a standard core.
     pub speed: f64,
-    /// Requests in process at once.
+    /// Maximum number of requests in process.
     pub slots: usize,
-    /// Requests that wait beyond those.
+    /// Maximum number of requests that wait for a slot.
     pub queue: usize,
-    /// How efficiency falls with concurrency.
+    /// Loss of efficiency with concurrency.
     pub contention: Contention,
-    /// Its slow start.
+    /// Slow start after each start of the process.
     pub slow_start: SlowStart,
-    /// The fraction of its requests that fail.
+    /// The fraction of completed requests that end with an error.
     pub error_rate: f64,
-    /// Connections that it accepts.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// The weight that the endpoint list gives it.
+    /// Weight on the endpoint list.
     pub weight: f64,
-    /// Its cache for affinity keys.
+    /// Parameters of the cache of affinity keys.
     pub key_cache: KeyCacheParameters,
 }
 
-/// How the efficiency of a machine falls with concurrency.
+/// The loss of efficiency of a machine with concurrency.
 #[derive(Clone, Copy, Debug)]
 pub struct Contention {
-    /// Efficiency lost for each request in process beyond the threshold.
+    /// Loss per request in process above the threshold: `n` such requests divide the efficiency by `1 + n * loss`.
     pub loss_per_request: f64,
-    /// Requests in process that cost none.
+    /// Number of requests in process up to which efficiency is not reduced.
     pub threshold: f64,
 }
 
 /// The slow start of a machine.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// The fraction of its capacity that it has at once.
+    /// The fraction of the full capacity that is available at the start.
     pub initial_capacity: f64,
-    /// The time until it has all of it.
+    /// Time from the start until the full capacity is available.
     pub duration: Millis,
 }
 
-/// The cache of a backend for affinity keys.
+/// The parameters of the affinity key cache of a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct KeyCacheParameters {
     /// The fraction of the work that a cached key saves.
     pub saving: f64,
-    /// For how long a key is cached.
+    /// Time for which a key is cached after its last use.
     pub retention: Millis,
-    /// How many keys are cached.
+    /// Number of keys above which keys are evicted.
     pub capacity: usize,
 }
 
-/// Where a proxy is and how much traffic it gets.
+/// The zone of a proxy and its weight in the distribution of traffic.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxySite {
-    /// Its zone.
+    /// Zone of the proxy.
     pub zone: ZoneIndex,
-    /// Its weight in the zone's front.
+    /// Weight of the proxy in the front-end load balancer of its zone.
     pub front_weight: f64,
 }
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// When its first attempt is sent.
+    /// Time at which the client sends the first attempt.
     pub arrives_at: Millis,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassIndex,
-    /// Its tenant.
+    /// Tenant that the request belongs to.
     pub tenant: TenantIndex,
-    /// Its affinity key.
+    /// Affinity key of the request.
     pub key: AffinityKey,
-    /// Its work on a standard core.
+    /// Processing time on a standard core.
     pub work: Millis,
-    /// The zone whose front receives it.
+    /// Zone whose front-end load balancer receives the request.
     pub zone: ZoneIndex,
-    /// Which of the zone's proxies the front selects, as a fraction of their total weight.
+    /// Position that selects one of the zone's proxies, as a fraction of their total weight.
     pub proxy_position: f64,
-    /// The timeout of an attempt, as a fraction of the deadline.
+    /// Timeout of each attempt, as a fraction of the deadline.
     pub attempt_timeout: f64,
-    /// The client disconnects after this fraction of the deadline.
+    /// Fraction of the deadline after which the client disconnects; `None` if it does not disconnect early.
     pub disconnects_after: Option<f64>,
-    /// What a response in time is worth.
+    /// Priority weight, which is the value of a response within the latency objective.
     pub priority_weight: f64,
 }
 
 /// A fault of a run.
 #[derive(Clone, Debug)]
 pub struct Fault {
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it starts.
+    /// Start time.
     pub start: Millis,
-    /// When it ends.
+    /// End time.
     pub end: Millis,
-    /// Which fraction of its targets it affects.
+    /// Fraction of the possible targets that the fault affects.
     pub fraction: f64,
-    /// How strong it is; see [`FaultKind`].
+    /// Magnitude of the fault; its meaning depends on the [`FaultKind`].
     pub magnitude: f64,
 }
 
@@ -132,41 +132,41 @@
         Fault { kind: spec.kind, start, end, fraction, magnitude }
     }
 
-    /// How many of `targets` it affects.
+    /// Returns how many of `targets` possible targets the fault affects.
     pub fn affected(&self, targets: usize) -> usize {
         (self.fraction * targets as f64).round() as usize
     }
 }
 
-/// Mean one-way latencies.
+/// Mean one-way latencies of the network.
 #[derive(Clone, Copy, Debug)]
 pub struct MeanLatencies {
-    /// Within a zone.
+    /// Latency within a zone.
     pub same_zone: Millis,
-    /// Between zones.
+    /// Latency between zones.
     pub cross_zone: Millis,
-    /// Between a client and its proxy.
+    /// Latency between a client and its proxy.
     pub client: Millis,
-    /// Of a datagram between proxies.
+    /// Latency of a gossip datagram between proxies.
     pub gossip: Millis,
 }
 
-/// How fast discovery is.
+/// The speed of the discovery service.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoverySpeed {
-    /// After this delay it has a change.
+    /// Delay after which the service receives a change.
     pub propagation_delay: Millis,
-    /// Calls a second that it can answer.
+    /// Calls per second that the service can accept.
     pub calls_per_s: f64,
 }
 
 /// The workload of one run.
 pub struct Workload {
-    /// What it was sampled from.
+    /// Scenario that the workload was sampled from.
     pub scenario: Scenario,
-    /// The seed.
+    /// Seed that the workload was sampled with.
     pub seed: u64,
-    /// For how long requests arrive.
+    /// Time during which requests arrive, from the start of the run.
     pub duration: Millis,
     /// The machines of the backends that run at the start.
     pub machines: IndexedVec<BackendIndex, Machine>,
@@ -176,26 +176,26 @@
     pub requests: IndexedVec<RequestIndex, Request>,
     /// Faults.
     pub faults: IndexedVec<FaultIndex, Fault>,
-    /// Quotas of the tenants, in requests a second.
+    /// Quotas of the tenants, in requests per second.
     pub tenant_quotas: IndexedVec<TenantIndex, f64>,
     /// Mean latencies of the network.
     pub latencies: MeanLatencies,
-    /// Work of a handshake for a backend.
+    /// Work of a connection handshake for a backend.
     pub handshake_work: Millis,
-    /// How fast discovery is.
+    /// Speed of the discovery service.
     pub discovery: DiscoverySpeed,
-    /// For how long the front still sends to a proxy that has crashed.
-    pub front_detection: Millis,
-    /// First backoff of a client.
+    /// Time for which the front-end load balancer still sends to a proxy that has crashed.
+    pub front_detection_delay: Millis,
+    /// Mean backoff of a client before its first retry.
     pub retry_backoff: Millis,
-    /// Work that all backends do in a millisecond.
+    /// Work that all backends together do per millisecond.
     pub capacity: f64,
-    /// Mean work of each class.
+    /// Mean work of a request of each class.
     pub mean_work_by_class: IndexedVec<ClassIndex, Millis>,
 }
 
 impl Workload {
-    /// Samples the workload of a seed.
+    /// Samples the workload of a scenario with a seed.
     pub fn sample(scenario: &Scenario, seed: u64) -> Self {
         let mut random = RandomStream::new(seed, "fleet");
         let machines = fleet::sample_machines(scenario, &mut random);
@@ -228,7 +228,7 @@
                 propagation_delay: random.in_range(scenario.discovery.propagation_delay_s) * MS_PER_S,
                 calls_per_s: random.in_range(scenario.discovery.calls_per_s).max(0.1),
             },
-            front_detection: random.in_range(scenario.clients.front_detection_s) * MS_PER_S,
+            front_detection_delay: random.in_range(scenario.clients.front_detection_s) * MS_PER_S,
             retry_backoff: random.in_range(scenario.clients.backoff_ms),
             capacity,
             mean_work_by_class: IndexedVec::default(),
@@ -237,24 +237,24 @@
         workload
     }
 
-    /// Mean work of a request.
+    /// Returns the mean work of a request over all classes.
     pub fn mean_work(&self) -> Millis {
         let shares: f64 = self.scenario.classes.iter().map(|class| class.share).sum();
         let classes = self.scenario.classes.iter().zip(self.mean_work_by_class.iter());
         classes.map(|(class, work)| class.share * work).sum::<f64>() / shares
     }
 
-    /// Whether requests of a class may be executed more than once.
+    /// Returns whether and how requests of a class may be executed more than once.
     pub fn idempotency(&self, class: ClassIndex) -> RequestIdempotency {
         self.scenario.classes[class.0].idempotency
     }
 
-    /// A request's class's latency objective.
+    /// Returns the latency objective of a class of requests.
     pub fn latency_objective(&self, class: ClassIndex) -> Millis {
         self.scenario.classes[class.0].latency_objective_ms
     }
 
-    /// How long clients wait for a request of a class over all their attempts.
+    /// Returns the time that clients wait for a request of a class, over all attempts.
     pub fn deadline(&self, class: ClassIndex) -> Millis {
         self.scenario.classes[class.0].deadline_ms
     }
--- a/crates/simulator/src/workload/requests.rs
+++ b/crates/simulator/src/workload/requests.rs
@@ -1,4 +1,4 @@
-//! Samples the requests: a Poisson process whose rate follows the bursts.
+//! Samples the requests as a Poisson process whose rate follows the bursts.
 
 use leadrelay_core::{AffinityKey, Millis};
 
@@ -8,7 +8,7 @@
 use crate::scenario::{FaultKind, Scenario};
 use crate::time::MS_PER_S;
 
-/// What requests are sampled from.
+/// Samples requests from the scenario and the parameters of the run.
 struct RequestSampler<'a> {
     scenario: &'a Scenario,
     zone_fractions: &'a [f64],
@@ -19,7 +19,7 @@
     random: RandomStream,
 }
 
-/// Random numbers of one arrival, sampled whether it becomes a request or not.
+/// The random numbers of one candidate arrival. All are sampled whether or not the arrival becomes a request.
 struct Arrival {
     at: Millis,
     acceptance: f64,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The tenant at a position in the tenants' shares, the first of which a burst multiplies.
+    /// Returns the tenant at a position in the tenants' shares; `burst` multiplies the share of the first tenant.
     fn tenant(&self, position: f64, burst: f64) -> TenantIndex {
         let tenants = &self.scenario.tenants;
         let first_share = tenants.first().map_or(0.0, |tenant| tenant.share * (burst - 1.0));
@@ -97,13 +97,14 @@
             early_disconnects,
             random,
         };
-        // A Poisson process of the highest rate is thinned to the rate of the moment.
+        // A Poisson process with the maximum rate is thinned to the current rate.
         let max_factor = self.max_rate_factor();
         let mut now = 0.0;
         while let Some(arrival) = sampler.next_arrival(now, requests_per_ms * max_factor) {
             now = arrival.at;
-            let tenant_burst = self.burst(FaultKind::TenantBurst, now).max(1.0);
-            let rate_factor = self.burst(FaultKind::Burst, now) * self.with_tenant_burst(tenant_burst);
+            let tenant_burst = self.burst_factor(FaultKind::TenantBurst, now).max(1.0);
+            let rate_factor =
+                self.burst_factor(FaultKind::Burst, now) * self.tenant_burst_factor(tenant_burst);
             if arrival.acceptance * max_factor < rate_factor {
                 self.requests.push(sampler.request(&arrival, tenant_burst));
             }
@@ -118,27 +119,27 @@
         }
     }
 
-    /// By how much bursts of a kind multiply traffic at a time.
-    fn burst(&self, kind: FaultKind, at: Millis) -> f64 {
+    /// Returns the factor by which bursts of a kind multiply traffic at a point in time.
+    fn burst_factor(&self, kind: FaultKind, at: Millis) -> f64 {
         let active =
             self.faults.iter().filter(|fault| fault.kind == kind && (fault.start..fault.end).contains(&at));
         active.map(|fault| fault.magnitude.max(0.0)).product()
     }
 
-    /// An upper bound of the factor by which bursts multiply traffic.
+    /// Returns an upper bound of the factor by which bursts multiply traffic.
     fn max_rate_factor(&self) -> f64 {
         let max_burst = |kind| {
             let bursts = self.faults.iter().filter(|fault| fault.kind == kind);
             bursts.map(|fault| fault.magnitude.max(1.0)).product::<f64>()
         };
-        max_burst(FaultKind::Burst) * self.with_tenant_burst(max_burst(FaultKind::TenantBurst))
+        max_burst(FaultKind::Burst) * self.tenant_burst_factor(max_burst(FaultKind::TenantBurst))
     }
 
-    /// The factor by which a burst of the first tenant multiplies all traffic.
-    fn with_tenant_burst(&self, burst: f64) -> f64 {
+    /// Returns the factor by which a burst of the first tenant multiplies the total traffic.
+    fn tenant_burst_factor(&self, burst: f64) -> f64 {
         let total_share = total_tenant_share(&self.scenario);
-        let first = self.scenario.tenants.first();
-        let first_fraction = first.map_or(0.0, |tenant| tenant.share / total_share.max(1e-9));
+        let first_tenant = self.scenario.tenants.first();
+        let first_fraction = first_tenant.map_or(0.0, |tenant| tenant.share / total_share.max(1e-9));
         1.0 + first_fraction * (burst - 1.0)
     }
 }
@@ -147,7 +148,7 @@
     scenario.tenants.iter().map(|tenant| tenant.share).sum()
 }
 
-/// Which of some parts a position in [0, 1) of their total falls into.
+/// Returns the index of the part that a position, as a fraction in [0, 1) of the total, falls into.
 fn select(mut parts: impl Iterator<Item = f64>, total: f64, position: f64) -> Option<usize> {
     let mut remaining = position * total;
     parts.position(|part| {
