--- a/crates/simulator/src/policy.rs
+++ b/crates/simulator/src/policy.rs
@@ -37,7 +37,7 @@
 
     /// Whether the policy handles events on its calls to discovery as [`Event::Discovery`]; otherwise it receives only
     /// [`Event::List`].
-    fn observes_calls(&self) -> bool {
+    fn handles_discovery_events(&self) -> bool {
         false
     }
 
@@ -57,7 +57,7 @@
         Balancer::handle(self, now, event, actions);
     }
 
-    fn observes_calls(&self) -> bool {
+    fn handles_discovery_events(&self) -> bool {
         true
     }
 
--- a/crates/simulator/src/simulation/endpoint_lists.rs
+++ b/crates/simulator/src/simulation/endpoint_lists.rs
@@ -100,7 +100,7 @@
             self.update_cached_list(proxy, *complete, entries);
             self.record_known_starts(proxy, entries);
         }
-        if self.proxies[proxy].policy.observes_calls() {
+        if self.proxies[proxy].policy.handles_discovery_events() {
             self.deliver(proxy, ProxyEvent::Discovery(event));
         } else if let Some(event) = as_list(event) {
             self.deliver(proxy, event);
@@ -130,7 +130,7 @@
                 continue;
             }
             self.drain_rule.discovery_moved(self.now(), proxy);
-            if self.proxies[proxy].policy.observes_calls() {
+            if self.proxies[proxy].policy.handles_discovery_events() {
                 self.deliver(proxy, ProxyEvent::Discovery(DiscoveryEvent::Moved));
             }
         }
--- a/crates/simulator/tests/drains_under_discovery_faults.rs
+++ b/crates/simulator/tests/drains_under_discovery_faults.rs
@@ -97,7 +97,7 @@
         self.core.handle(now, event, actions);
     }
 
-    fn observes_calls(&self) -> bool {
+    fn handles_discovery_events(&self) -> bool {
         true
     }
 }
