--- a/crates/simulator/src/simulation/backends.rs
+++ b/crates/simulator/src/simulation/backends.rs
@@ -103,7 +103,7 @@
         let request = self.clients.attempts[attempt.client_attempt].request;
         let class = workload.requests[request].class;
         let backend = attempt.backend;
-        let received = ReceivedRequest { at: now, backend, class, by_notified: attempt.knows_start };
+        let received = ReceivedRequest { at: now, backend, class, sender_was_notified: attempt.knows_start };
         self.slow_start.record(workload, &self.backends[backend], received);
         // The rule counts the mean work of the class, because no proxy can know the work of a single request; the rule
         // leaves slack for the difference.
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -71,7 +71,7 @@
     at: Millis,
     /// In requests of mean work.
     requests: f64,
-    by_notified: bool,
+    sender_was_notified: bool,
 }
 
 /// What reached one backend within the last window.
@@ -96,7 +96,7 @@
     }
 
     fn total_from_notified(&self) -> f64 {
-        self.sent.iter().filter(|sent| sent.by_notified).map(|sent| sent.requests).sum()
+        self.sent.iter().filter(|sent| sent.sender_was_notified).map(|sent| sent.requests).sum()
     }
 }
 
@@ -117,7 +117,7 @@
     /// Its class.
     pub class: ClassIndex,
     /// Whether its proxy had been notified of the backend's start.
-    pub by_notified: bool,
+    pub sender_was_notified: bool,
 }
 
 impl SlowStartMonitor {
@@ -132,7 +132,7 @@
         let mean_work = workload.mean_work();
         let window = rule.overload_window();
         let requests = workload.mean_work_by_class[request.class] / mean_work;
-        let sent = Sent { at: request.at, requests, by_notified: request.by_notified };
+        let sent = Sent { at: request.at, requests, sender_was_notified: request.sender_was_notified };
         let recent = Self::recent(&mut self.backends, &mut self.report, request.backend, backend);
         recent.record(sent, window);
         let all = recent.total();
