--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -188,7 +188,7 @@
     ) {
         if scope == ListScope::Failed {
             self.subscribed = false;
-            let at = now + RESUBSCRIBE_DELAY + RESUBSCRIBE_JITTER * self.random.unit();
+            let at = now + RESUBSCRIBE_DELAY + RESUBSCRIBE_JITTER * self.random.uniform();
             actions.push(Action::Timer { token: 0, at });
             return;
         }
--- a/crates/simulator/src/paired_difference/tests.rs
+++ b/crates/simulator/src/paired_difference/tests.rs
@@ -5,7 +5,7 @@
 /// Pairs whose figures vary much more from workload to workload than from A to B.
 fn pairs(random: &mut RandomStream, shift: f64) -> Vec<Pair> {
     let pair = |_| {
-        let figure = random.unit();
+        let figure = random.uniform();
         Pair { a: figure, b: figure + shift + 0.01 * random.normal() }
     };
     (0..20).map(pair).collect()
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -43,13 +43,13 @@
     }
 
     /// Samples a number uniformly from [0, 1).
-    pub fn unit(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.random()
     }
 
     /// Returns true with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
-        self.unit() < probability
+        self.uniform() < probability
     }
 
     /// Samples an integer uniformly from those below `bound`; returns 0 if `bound` is 0.
@@ -60,7 +60,7 @@
     /// Samples a number uniformly from a range.
     pub fn in_range(&mut self, range: Range) -> f64 {
         let (low, high) = range.bounds();
-        low + (high - low) * self.unit()
+        low + (high - low) * self.uniform()
     }
 
     /// Samples the exponential distribution with mean 1.
@@ -109,7 +109,7 @@
 
     /// Samples a key, counted from 0.
     pub fn sample(&self, random: &mut RandomStream) -> usize {
-        let position = random.unit();
+        let position = random.uniform();
         let key = self.cumulative.partition_point(|weight| *weight < position);
         key.min(self.cumulative.len() - 1)
     }
--- a/crates/simulator/src/random/tests.rs
+++ b/crates/simulator/src/random/tests.rs
@@ -8,7 +8,7 @@
 fn streams_depend_on_seed_and_purpose_only() {
     let values = |seed, purpose| {
         let mut random = RandomStream::new(seed, purpose);
-        [random.unit(), random.exponential(), random.normal()]
+        [random.uniform(), random.exponential(), random.normal()]
     };
     assert_eq!(values(1, "a"), values(1, "a"));
     assert_ne!(values(1, "a"), values(1, "b"));
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -225,7 +225,7 @@
         let attempts = self.clients.requests[request_index].attempts;
         let doublings = (attempts - 1).min(MAX_BACKOFF_DOUBLINGS);
         let mean_backoff = self.workload.retry_backoff * f64::from(1u32 << doublings);
-        let backoff = mean_backoff * (0.5 + self.random.unit());
+        let backoff = mean_backoff * (0.5 + self.random.uniform());
         let wait = backoff.max(retry_after.min(MAX_RETRY_AFTER));
         let request_deadline = request.arrives_at + self.workload.deadline(request.class);
         let has_time = self.now() + wait < request_deadline - MIN_RETRY_TIME;
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -100,7 +100,7 @@
     fn kill_proxies(&mut self, index: FaultIndex, fault: &Fault) {
         for proxy in self.affected_proxies(index, fault) {
             self.proxy_stops(proxy);
-            let spread = 1.0 + RECOVERY_SPREAD * self.random.unit();
+            let spread = 1.0 + RECOVERY_SPREAD * self.random.uniform();
             let downtime = fault.magnitude * MS_PER_S * spread;
             self.events.schedule_after(downtime, Event::ProxyRecovers(proxy));
         }
--- a/crates/simulator/src/workload/fleet.rs
+++ b/crates/simulator/src/workload/fleet.rs
@@ -80,7 +80,7 @@
 
 /// Samples each zone's fraction of the traffic.
 pub(super) fn sample_zone_fractions(zones: usize, skew: f64, random: &mut RandomStream) -> Vec<f64> {
-    let sample = |_| 1.0 + skew * (2.0 * random.unit() - 1.0);
+    let sample = |_| 1.0 + skew * (2.0 * random.uniform() - 1.0);
     let mut fractions: Vec<f64> = (0..zones).map(sample).collect();
     let total: f64 = fractions.iter().sum();
     for fraction in &mut fractions {
--- a/crates/simulator/src/workload/requests.rs
+++ b/crates/simulator/src/workload/requests.rs
@@ -36,10 +36,10 @@
         }
         Some(Arrival {
             at,
-            acceptance: self.random.unit(),
-            class: self.random.unit(),
-            tenant: self.random.unit(),
-            zone: self.random.unit(),
+            acceptance: self.random.uniform(),
+            class: self.random.uniform(),
+            tenant: self.random.uniform(),
+            zone: self.random.uniform(),
         })
     }
 
@@ -57,9 +57,9 @@
             key: AffinityKey(self.keys.sample(&mut self.random) as u64),
             work: self.mean_work[class_index] * self.random.lognormal(self.work_variation[class_index]),
             zone: ZoneIndex(zone),
-            proxy_position: self.random.unit(),
+            proxy_position: self.random.uniform(),
             attempt_timeout: self.random.in_range(scenario.clients.attempt_timeout),
-            disconnects_after: self.random.chance(self.early_disconnects).then(|| self.random.unit()),
+            disconnects_after: self.random.chance(self.early_disconnects).then(|| self.random.uniform()),
             priority_weight: scenario.classes[class].priority_weight,
         }
     }
