--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -126,7 +126,7 @@
         if count == 0 {
             return None;
         }
-        let start = self.random.below(count);
+        let start = self.random.uniform_below(count);
         match self.kind {
             BaselineKind::Random => Some(start),
             BaselineKind::RoundRobin => {
@@ -135,7 +135,7 @@
             }
             BaselineKind::LeastOutstanding => self.cheapest(start, |known| f64::from(known.in_flight)),
             BaselineKind::TwoChoices => {
-                let other = self.random.below(count);
+                let other = self.random.uniform_below(count);
                 let other_is_better = self.backends[other].in_flight < self.backends[start].in_flight;
                 Some(if other_is_better { other } else { start })
             }
--- a/crates/simulator/src/paired_difference.rs
+++ b/crates/simulator/src/paired_difference.rs
@@ -84,7 +84,7 @@
 fn resampled_medians(differences: &[f64], seed: u64) -> Vec<f64> {
     let mut random = RandomStream::new(seed, "bootstrap");
     let count = differences.len();
-    let mut resample = || (0..count).map(|_| differences[random.below(count)]).collect();
+    let mut resample = || (0..count).map(|_| differences[random.uniform_below(count)]).collect();
     let mut medians: Vec<f64> = (0..RESAMPLES).map(|_| median(resample())).collect();
     medians.sort_by(f64::total_cmp);
     medians
--- a/crates/simulator/src/random.rs
+++ b/crates/simulator/src/random.rs
@@ -53,7 +53,7 @@
     }
 
     /// Samples an integer uniformly from those below `bound`; returns 0 if `bound` is 0.
-    pub fn below(&mut self, bound: usize) -> usize {
+    pub fn uniform_below(&mut self, bound: usize) -> usize {
         if bound == 0 { 0 } else { self.0.random_range(0..bound) }
     }
 
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -81,7 +81,7 @@
         let affected = fault.affected(count);
         let mut targets: Vec<usize> = (0..count).collect();
         for position in 0..affected.min(count) {
-            let other = position + random.below(count - position);
+            let other = position + random.uniform_below(count - position);
             targets.swap(position, other);
         }
         targets.truncate(affected);
@@ -170,7 +170,7 @@
 
     fn skew_traffic(&mut self, index: FaultIndex, fault: &Fault) {
         let proxies = self.proxies.len();
-        let first = ProxyIndex(self.fault_random(index).below(proxies));
+        let first = ProxyIndex(self.fault_random(index).uniform_below(proxies));
         let count = fault.affected(proxies).clamp(1, proxies);
         let fraction = fault.magnitude.min(MAX_SKEW);
         self.front.set_skew(Some(TrafficSkew { first, count, fraction }));
