--- a/crates/simulator/src/baseline.rs
+++ b/crates/simulator/src/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines: well-known policies against which the core is compared.
+//! Baselines: well-known load balancing policies against which the core is compared.
 
 use leadrelay_core::{
     Action, CallId, Endpoint, EndpointId, EndpointState, Event, ListScope, Millis, Outcome, RejectionReason,
@@ -15,25 +15,26 @@
 pub enum BaselineKind {
     /// Uniformly at random.
     Random,
-    /// One after another.
+    /// Each backend in turn.
     RoundRobin,
-    /// The one with the fewest requests in flight from this proxy.
+    /// The backend with the fewest requests in flight from this proxy.
     #[value(name = "least")]
     LeastOutstanding,
-    /// The better of two at random, by requests in flight from this proxy.
+    /// Of two backends chosen at random, the one with fewer requests in flight from this proxy.
     TwoChoices,
-    /// The least product of requests in flight and a peak-sensitive mean of latency (as Finagle's peak EWMA).
+    /// The backend with the least product of requests in flight and a peak-sensitive mean latency, as in Finagle's peak
+    /// EWMA.
     PeakEwma,
-    /// The one that would serve it first, by the true state at present.
+    /// The backend that would serve the request first, by the true state at present.
     #[value(name = "sees-all")]
     CurrentTrueState,
-    /// The one that would serve it first, by the true state half a second ago.
+    /// The backend that would serve the request first, by the true state half a second ago.
     #[value(name = "sees-late")]
     DelayedTrueState,
 }
 
 impl BaselineKind {
-    /// Its name in results.
+    /// The name of the baseline in results.
     pub fn name(self) -> &'static str {
         match self {
             BaselineKind::Random => "Random",
@@ -47,27 +48,29 @@
     }
 }
 
-/// Time constant of peak EWMA.
+/// Time constant of the decay of the peak EWMA.
 const EWMA_DECAY: Millis = 10_000.0;
-/// What a new sample below the mean weighs in it.
+/// Weight of a new sample in the peak EWMA if the sample is below the mean.
 const EWMA_SAMPLE_WEIGHT: f64 = 0.1;
-/// The mean latency of a backend without a sample.
+/// Mean latency assumed for a backend without a sample.
 const INITIAL_LATENCY: Millis = 1.0;
-/// Attempts that a baseline makes.
+/// The most attempts that a baseline makes for one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// After a failed call a baseline subscribes again after this delay ...
+/// Shortest delay between a failed call to discovery and the next subscription.
 const RESUBSCRIBE_DELAY: Millis = 500.0;
-/// ... and a random part of this jitter.
+/// Longest random delay added to [`RESUBSCRIBE_DELAY`].
 const RESUBSCRIBE_JITTER: Millis = 1000.0;
-/// A baseline requests the complete list each time, and its calls need no numbers.
+/// Subscription to the complete list. A baseline never requests only the changes since a version, and its calls need
+/// no distinct ids.
 const SUBSCRIBE: Action = Action::Subscribe { call: CallId(0), after: None };
 
-/// A backend as the proxy knows it.
+/// The state that a proxy keeps for one backend.
 struct KnownBackend {
     id: EndpointId,
     in_flight: u32,
-    /// Peak EWMA of latency, and when it was last updated.
+    /// Peak EWMA of the latency, as of `updated_at`.
     latency: Millis,
+    /// Time of the last update of `latency`.
     updated_at: Millis,
 }
 
@@ -83,7 +86,7 @@
         self.updated_at = now;
     }
 
-    /// How long a further request takes there by the true state.
+    /// Relative time that the backend would take for a further request, by the true state; infinite without capacity.
     fn true_cost(&self, state: &TrueState) -> f64 {
         let backend = BackendIndex(self.id.0 as usize);
         let capacity = state.capacity.get(backend).copied().unwrap_or(0.0);
@@ -91,13 +94,15 @@
     }
 }
 
-/// A request that has no final answer yet.
+/// A request without a final answer yet.
 struct OpenRequest {
     attempts: u32,
+    /// The endpoint of the last attempt.
     endpoint: EndpointId,
 }
 
-/// A baseline: sends at once, retries what surely was not executed, and queues nothing.
+/// A proxy with a baseline policy. It sends each request at once, retries only attempts that were certainly not
+/// executed, and has no queue.
 pub struct Baseline {
     kind: BaselineKind,
     random: RandomStream,
@@ -108,7 +113,7 @@
 }
 
 impl Baseline {
-    /// A proxy that selects backends like this.
+    /// Creates a proxy that selects backends by a baseline's policy.
     pub fn new(kind: BaselineKind, seed: u64) -> Self {
         Baseline {
             kind,
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Selects a position among the known backends.
+    /// Selects a backend and returns its position in `backends`; `None` if no backend is known.
     fn select(&mut self, now: Millis, fleet: FleetView<'_>) -> Option<usize> {
         let count = self.backends.len();
         if count == 0 {
@@ -153,7 +158,7 @@
         }
     }
 
-    /// The backend of the least cost; of equal ones the first after a random start.
+    /// Position of the backend with the least cost; among equal costs the first at or after `start`.
     fn cheapest(&self, start: usize, cost: impl Fn(&KnownBackend) -> f64) -> Option<usize> {
         let count = self.backends.len();
         let positions = (0..count).map(|offset| (start + offset) % count);
@@ -219,7 +224,8 @@
         }
     }
 
-    /// Records the end of an attempt; returns how many the request has had, if it is open.
+    /// Records the end of an attempt. Returns the number of attempts of the request so far, or `None` if the request
+    /// is no longer open.
     fn record_attempt(&mut self, now: Millis, request: RequestId, latency: Millis) -> Option<u32> {
         let open = self.open_requests.get(&request)?;
         if let Some(backend) = self.backends.iter_mut().find(|known| known.id == open.endpoint) {
@@ -229,7 +235,8 @@
         Some(open.attempts)
     }
 
-    /// What follows from the failure of an attempt.
+    /// Handles a failed attempt: fails the request if it may have been executed, retries it while attempts are left,
+    /// and rejects it otherwise.
     fn retry_or_give_up(
         &mut self, now: Millis, request: RequestId, outcome: Outcome, attempts: u32, fleet: FleetView<'_>,
         actions: &mut Vec<Action>,
--- a/crates/simulator/src/commands/baselines.rs
+++ b/crates/simulator/src/commands/baselines.rs
@@ -8,7 +8,7 @@
 use crate::arguments::WorkloadArguments;
 use crate::table::table;
 
-/// The core and the baselines, in the order of the table.
+/// The core and the baselines, in the order of the printed rows.
 const VERSIONS: [Version; 8] = [
     Version::Core,
     Version::Baseline(BaselineKind::Random),
@@ -32,7 +32,7 @@
     json: bool,
 }
 
-/// Runs the workloads by each version and prints the means.
+/// Runs the workloads with each version and prints the means over all seeds.
 pub fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
     let scenario = read_scenario(&arguments.workloads)?;
     let seeds = arguments.workloads.seeds;
@@ -49,6 +49,6 @@
             violations.to_string(),
         ]);
     }
-    println!("{} over {} runs from seed {}\n{shown}", scenario.name, seeds.count, seeds.first);
+    println!("{} over {} runs from seed {}\n{shown}", scenario.name, seeds.count, seeds.first_seed);
     Ok(Verdict::Passed)
 }
--- a/crates/simulator/src/commands/compare.rs
+++ b/crates/simulator/src/commands/compare.rs
@@ -11,10 +11,10 @@
 
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// One version: `core`, a baseline's name, or the path of another build's adapter
+    /// Version A: `core`, a baseline's name, or the path of another build's adapter
     #[arg(value_parser = version)]
     a: Version,
-    /// The other version
+    /// Version B, in the same form
     #[arg(value_parser = version)]
     b: Version,
     #[command(flatten)]
@@ -22,12 +22,12 @@
     /// Has no effect
     #[arg(long, value_enum, hide = true)]
     baseline: Option<BaselineKind>,
-    /// Differences as JSON
+    /// Print the differences as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// A figure that is compared.
+/// A figure of a result that is compared between the versions.
 struct Figure {
     name: &'static str,
     value: fn(&RunResult) -> f64,
@@ -41,7 +41,7 @@
     Figure { name: "rules broken", value: |result| result.violation_count as f64 },
 ];
 
-/// Runs the workloads by both versions and prints the differences.
+/// Runs the workloads with both versions and prints the differences.
 pub fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
     let scenario = read_scenario(&arguments.workloads)?;
     let seeds = arguments.workloads.seeds;
@@ -52,7 +52,7 @@
     for Figure { name, value } in FIGURES {
         let pair = |(a, b)| Pair { a: value(a), b: value(b) };
         let pairs: Vec<Pair> = results_a.iter().zip(&results_b).map(pair).collect();
-        let Some(difference) = PairedDifference::new(&pairs, seeds.first) else { continue };
+        let Some(difference) = PairedDifference::new(&pairs, seeds.first_seed) else { continue };
         shown.add_row(row(name, &pairs, &difference));
         differences.insert(name.to_owned(), serde_json::to_value(&difference)?);
     }
@@ -62,7 +62,7 @@
         let a = arguments.a.name();
         let b = arguments.b.name();
         let scenario = scenario.name;
-        println!("{scenario}: A {a}, B {b}, {} runs from seed {}\n{shown}", seeds.count, seeds.first);
+        println!("{scenario}: A {a}, B {b}, {} runs from seed {}\n{shown}", seeds.count, seeds.first_seed);
     }
     Ok(Verdict::Passed)
 }
--- a/crates/simulator/src/commands/reconnect.rs
+++ b/crates/simulator/src/commands/reconnect.rs
@@ -1,4 +1,4 @@
-//! `leadrelay-simulator reconnect`: storms of calls to discovery, for fleets of several sizes.
+//! `leadrelay-simulator reconnect`: simulates reconnection storms at discovery, for fleets of several sizes.
 
 use clap::Args;
 use leadrelay_simulator::reconnect::{ReconnectStorm, StormResult, simulate_storm};
@@ -11,32 +11,32 @@
 
 #[derive(Debug, Args)]
 pub struct Arguments {
-    /// Fleets, by their proxies
+    /// Numbers of proxies, one fleet for each
     #[arg(long, value_delimiter = ',', default_values_t = [30, 300, 1000],
         value_parser = clap::value_parser!(u32).range(1..=10_000))]
     proxies: Vec<u32>,
     /// Calls a second that discovery answers for each proxy of the fleet
     #[arg(long, default_value_t = 0.25, value_parser = positive)]
     calls_per_s: f64,
-    /// A call that would wait longer is refused, in ms
+    /// Longest wait of a call in ms; a call that would wait longer is refused
     #[arg(long, default_value_t = 2000.0, value_parser = positive)]
     limit_ms: f64,
-    /// Refusals come when that wait is over, not at once
+    /// Refuse calls only when that wait is over, not at once
     #[arg(long)]
     late_refusals: bool,
-    /// A proxy gives a call up after this time, in ms
+    /// Time in ms after which a proxy gives a call up
     #[arg(long = "patience-ms", value_name = "PATIENCE_MS", default_value_t = 3000.0, value_parser = positive)]
     call_timeout_ms: f64,
-    /// For how long the storm is observed, in ms
+    /// Simulated time in ms
     #[arg(long, default_value_t = 30_000.0, value_parser = positive)]
     length_ms: f64,
     /// The first seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many storms, each with the next seed
+    /// Number of storms, each with the next seed
     #[arg(long, default_value_t = 20, value_parser = seed_count())]
     seeds: u64,
-    /// Results as JSON, one line a storm
+    /// Print the results as JSON, one line for each storm
     #[arg(long)]
     json: bool,
 }
@@ -103,7 +103,8 @@
     ]
 }
 
-/// The mean of a time; none if it is missing in a storm, which did not end within the time observed.
+/// The mean of a time over all storms, or "never" if a storm was not over within the simulated time and so has no such
+/// time.
 fn mean_time(results: &[StormResult], time: impl Fn(&StormResult) -> Option<f64>) -> String {
     let times: Option<Vec<f64>> = results.iter().map(time).collect();
     seconds(times.map(|times| times.iter().sum::<f64>() / results.len() as f64))
--- a/crates/simulator/src/commands/run.rs
+++ b/crates/simulator/src/commands/run.rs
@@ -10,17 +10,17 @@
 use crate::arguments::WorkloadArguments;
 use crate::table::table;
 
-/// Keeps a division defined where nothing was offered.
+/// Lower bound of a divisor, which keeps the division defined where no weight was offered.
 const MIN_TOTAL: f64 = 1e-9;
 
 #[derive(Debug, Args)]
 pub struct Arguments {
     #[command(flatten)]
     workloads: WorkloadArguments,
-    /// Whose decisions, in place of the core's
+    /// Baseline that makes the decisions in place of the core
     #[arg(long, value_enum)]
     baseline: Option<BaselineKind>,
-    /// Results as JSON, one line a run
+    /// Print the results as JSON, one line for each run
     #[arg(long)]
     json: bool,
 }
@@ -85,7 +85,8 @@
     );
 }
 
-/// Weight by outcome, of all and of each class's and zone's own; the largest outcome first.
+/// Builds the table of weight by outcome: as a fraction of all weight, and of the weight of each class and zone. The
+/// outcome with the most weight comes first.
 fn outcome_table(result: &RunResult) -> Table {
     let dimensions = [Dimension::Class, Dimension::Zone];
     let groups: Vec<(&String, &OutcomeWeights)> =
@@ -102,7 +103,7 @@
     shown
 }
 
-/// The fraction of a group's weight that an outcome has.
+/// The weight of an outcome as a fraction of its group's weight.
 fn fraction_of_group(weights: &OutcomeWeights, outcome: RequestOutcome) -> f64 {
     let total: f64 = weights.values().sum();
     weights.get(&outcome).copied().unwrap_or(0.0) / total.max(MIN_TOTAL)
--- a/crates/simulator/src/commands/simulations.rs
+++ b/crates/simulator/src/commands/simulations.rs
@@ -1,4 +1,4 @@
-//! Runs the workloads that arguments describe.
+//! Reads scenarios and runs workloads as the command-line arguments say.
 
 use indicatif::{ProgressBar, ProgressStyle};
 use leadrelay_simulator::{RunResult, Scenario, Version, Workload, simulate};
@@ -7,7 +7,7 @@
 use super::CommandError;
 use crate::arguments::{SeedArguments, WorkloadArguments};
 
-/// Reads the scenario with what the arguments change of it.
+/// Reads the scenario and applies the values that the arguments override.
 pub fn read_scenario(arguments: &WorkloadArguments) -> Result<Scenario, CommandError> {
     let mut scenario = Scenario::read(&arguments.scenario)?;
     limit_duration(&mut scenario, arguments.seconds);
@@ -18,14 +18,14 @@
     Ok(scenario)
 }
 
-/// Limits the length of the run.
+/// Limits the duration of the run; `None` leaves it as it is.
 pub fn limit_duration(scenario: &mut Scenario, seconds: Option<f64>) {
     if let Some(seconds) = seconds {
         scenario.duration_s = scenario.duration_s.min(seconds);
     }
 }
 
-/// Replaces the number of backends.
+/// Replaces the number of backends; `None` leaves it as it is.
 pub fn replace_backends(scenario: &mut Scenario, backends: Option<u32>) {
     if let Some(backends) = backends {
         scenario.backends = backends as usize;
--- a/crates/simulator/src/commands/slow_start.rs
+++ b/crates/simulator/src/commands/slow_start.rs
@@ -1,5 +1,5 @@
-//! `leadrelay-simulator cold`: how close backends in slow start come to an overload, by proxies, lost gossip and
-//! restarts.
+//! `leadrelay-simulator cold`: reports how close backends in slow start come to an overload, for combinations of the
+//! number of proxies, lost gossip and restarts.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -24,7 +24,7 @@
     /// Numbers of proxies
     #[arg(long, value_delimiter = ',', default_values_t = [3, 30, 300], value_parser = fleet_size())]
     proxies: Vec<u32>,
-    /// Fractions of the gossip that is lost; with 1 the proxies may send none
+    /// Fractions of the gossip that is lost; 1 means no gossip at all
     #[arg(long, value_delimiter = ',', default_values_t = [0.0, 0.1, 0.5], value_parser = fraction)]
     lost: Vec<f64>,
     /// Fractions of the proxies that `kill_proxies` affects
@@ -32,21 +32,21 @@
     restarted: Vec<f64>,
     #[command(flatten)]
     seeds: SeedArguments,
-    /// Whose decisions: `core`, a baseline's name, or the path of another build's adapter
+    /// Version that makes the decisions: `core`, a baseline's name, or the path of another build's adapter
     #[arg(long, default_value = "core", value_parser = version)]
     by: Version,
-    /// Limit the run to so many seconds
+    /// Limit the run to this many seconds
     #[arg(long, value_parser = positive)]
     seconds: Option<f64>,
-    /// So many backends in place of the scenario's
+    /// Number of backends, in place of the scenario's
     #[arg(long, value_parser = fleet_size())]
     backends: Option<u32>,
-    /// Cells as JSON, one a line
+    /// Print the cells as JSON, one line for each cell
     #[arg(long)]
     json: bool,
 }
 
-/// What differs from cell to cell.
+/// The parameters that vary between the cells of the table.
 #[derive(Clone, Copy)]
 struct CellParameters {
     proxies: u32,
@@ -57,7 +57,7 @@
 }
 
 impl Arguments {
-    /// All combinations.
+    /// All combinations of the parameters.
     fn cells(&self) -> Vec<CellParameters> {
         let mut cells = Vec::new();
         for &proxies in &self.proxies {
@@ -90,7 +90,7 @@
     }
 }
 
-/// A cell of the table, over its runs.
+/// The results of all runs with one combination of parameters.
 #[derive(Serialize)]
 struct Cell {
     proxies: u32,
@@ -114,14 +114,14 @@
     served: f64,
 }
 
-/// Ratios of the load to what is allowed, over several runs.
+/// Summary over several runs of the ratio of the load to the allowed load.
 #[derive(Serialize)]
 struct RatioSummary {
-    /// The highest of all runs.
+    /// Highest ratio of all runs.
     worst: f64,
-    /// That of the median run.
+    /// Median of the runs' highest ratios.
     median: f64,
-    /// Windows with more than allowed, in all runs.
+    /// Number of windows with more than the allowed load, in all runs.
     over: usize,
 }
 
@@ -185,7 +185,8 @@
     }
 }
 
-/// Runs all cells and prints them.
+/// Runs the workloads of all cells and prints the results. The verdict is a violation if the proxies were at fault for
+/// any overload.
 pub fn execute(arguments: &Arguments) -> Result<Verdict, CommandError> {
     let mut scenario = arguments.read_scenario()?;
     let mut shown = table([
@@ -218,7 +219,7 @@
             scenario.name,
             arguments.by.name(),
             arguments.seeds.count,
-            arguments.seeds.first
+            arguments.seeds.first_seed
         );
     }
     Ok(Verdict::from_check(proxies_at_fault == 0))
--- a/crates/simulator/src/drain_rule.rs
+++ b/crates/simulator/src/drain_rule.rs
@@ -1,17 +1,18 @@
-//! The operators' rule on drains, derived from what discovery did alone and not from what proxies believe.
+//! Checks the operators' rule on drains. The check depends only on the actions of discovery, not on the state of the
+//! proxies.
 //!
-//! A change (a drain or a removal) counts as notified to a proxy from the earliest of these moments on:
+//! A change (a drain or a removal) counts as notified to a proxy from the earliest of these times on:
 //!
-//! - when discovery has written it to the proxy, on a watch or in a response; a complete list that leaves a backend
-//!   out notifies its removal;
-//! - 6 s after discovery had it and could be reached, whatever calls failed;
-//! - 6 s after the proxy's watch stalled, as long as the proxy has not got its list again;
-//! - 4 s after discovery moved, for what it has at the new address, likewise;
-//! - where lists are pushed, at once, and from the first moment of a new process. While a watch is open but stalled the
-//!   limit for stalled watches applies instead, and after a move the one for moves.
+//! - the time at which discovery wrote the change to the proxy, on a watch or in a response; a complete list without a
+//!   backend notifies the backend's removal;
+//! - 6 s after discovery had the change and was reachable, even if calls failed;
+//! - 6 s after the proxy's watch stalled, until the list is written to the proxy again;
+//! - 4 s after discovery moved, for changes at the new address, until the list is written to the proxy again;
+//! - where lists are pushed: the time of the change, or the start of a proxy that started later. While a watch is open
+//!   but stalled, the limit for stalled watches applies instead; after a move, the limit for moves applies.
 //!
-//! A send whose first byte goes out later than the grace after that violates the rule. Where the operators' sentences
-//! leave a choice the earlier moment is taken.
+//! An attempt violates the rule if its first byte is sent later than the grace period (and its tolerance) after the
+//! change counts as notified. Where the operators' text is ambiguous, the earlier time applies.
 
 use std::fmt;
 
@@ -20,51 +21,53 @@
 
 use crate::index::{BackendIndex, IndexedVec, ProxyIndex};
 
-/// Sends may go on for this time after a change counts as notified, by the operators' settings.
+/// Grace period after a change counts as notified, during which requests may still be sent, by the operators' settings.
 const GRACE: Millis = 2000.0;
-/// The tolerance of the rule beyond that.
+/// Tolerance of the rule beyond [`GRACE`].
 const TOLERANCE: Millis = 50.0;
-/// The latest time of a first byte after a change counts as notified.
+/// Longest time between the moment from which a change counts as notified and the first byte of an attempt.
 const MAX_SEND_DELAY: Millis = GRACE + TOLERANCE;
-/// After this time a change counts as notified although it was not written.
-const AFTER_CHANGE: Millis = 6000.0;
-/// The same after a move of discovery.
-const AFTER_MOVE: Millis = 4000.0;
+/// Time after a change, or after a stall of the proxy's watch, after which a change counts as notified although discovery
+/// has not written it to the proxy.
+const NOTIFIED_AFTER_CHANGE: Millis = 6000.0;
+/// Time after a move of discovery after which a change counts as notified although discovery has not written it to the
+/// proxy.
+const NOTIFIED_AFTER_MOVE: Millis = 4000.0;
 
-/// Why a change counts as notified.
+/// The reason why a change counts as notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NotificationBasis {
-    /// It was written to the proxy.
+    /// Discovery wrote the change to the proxy.
     Written,
-    /// Discovery had it for long enough.
+    /// Discovery had the change for 6 s.
     Assumed,
-    /// The watch was stalled for long enough.
+    /// The proxy's watch was stalled for 6 s.
     Stalled,
-    /// Discovery moved long enough ago.
+    /// Discovery moved 4 s ago.
     Moved,
-    /// The agent had it.
+    /// The agent that pushes lists had the change.
     Pushed,
 }
 
-/// Since when a change counts as notified to a proxy.
+/// The time from which a change counts as notified to a proxy, and the reason.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NotifiedSince {
-    /// When.
+    /// Time from which the change counts as notified.
     pub at: Millis,
-    /// Why then.
+    /// Reason why this time applies.
     pub basis: NotificationBasis,
 }
 
-/// A send that violates the rule.
+/// An attempt that violates the rule.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub struct SendAfterDrain {
-    /// Which proxy sent.
+    /// The proxy that sent the attempt.
     pub proxy: ProxyIndex,
-    /// To which backend.
+    /// The backend that the attempt was sent to.
     pub backend: BackendIndex,
-    /// Since when the backend's drain or removal counted as notified.
+    /// The time from which the backend's drain or removal counted as notified, and the reason.
     pub notified: NotifiedSince,
-    /// When the first byte went out.
+    /// Time of the first byte.
     pub first_byte: Millis,
 }
 
@@ -78,27 +81,27 @@
     }
 }
 
-/// The watch of a proxy.
+/// State of a proxy's watch.
 #[derive(Clone, Copy, Debug)]
 enum Watch {
-    /// None is open.
+    /// No watch is open.
     Closed { since: Millis },
-    /// All that is written to it arrives.
+    /// The watch is open, and everything written to it arrives.
     Live,
-    /// Nothing arrives.
+    /// The watch is open, but nothing written to it arrives.
     Stalled,
 }
 
-/// What a proxy has been notified of.
+/// The state that the rule keeps for one proxy.
 #[derive(Clone, Debug)]
 struct ProxyState {
     started_at: Millis,
-    /// Backends whose drain or removal was written to it, and when.
+    /// Backends whose drain or removal was written to the proxy, and the time of that.
     written: FxHashMap<BackendIndex, Millis>,
     watch: Watch,
-    /// When a watch stalled, if the list has not been written again since.
+    /// Time at which a watch stalled; `None` if the list has been written since.
     stalled_at: Option<Millis>,
-    /// When discovery moved, if the list has not been written again since.
+    /// Time at which discovery moved; `None` if the list has been written since.
     moved_at: Option<Millis>,
 }
 
@@ -114,28 +117,30 @@
     }
 }
 
-/// Lines that discovery has written to a proxy.
+/// A list, or changes to it, that discovery has written to a proxy.
 #[derive(Clone, Copy, Debug)]
 pub struct WrittenList<'a> {
-    /// Whether it was written at the address that discovery has left.
+    /// Whether it came from the address that discovery had before a move.
     pub former_address: bool,
     /// Whether it is the complete list.
     pub complete: bool,
-    /// Its entries.
+    /// The entries that were written.
     pub entries: &'a [Endpoint],
 }
 
-/// The rule over a whole fleet.
+/// The rule on drains, for all proxies of a fleet.
 #[derive(Clone, Debug)]
 pub struct DrainRule {
+    /// Whether an agent beside each proxy pushes lists.
     pushed: bool,
-    /// Backends that drain or are removed, and since when discovery has had that and could be reached.
+    /// Backends that drain or are removed, and the time from which discovery had the change and was reachable.
     draining_since: FxHashMap<BackendIndex, Millis>,
     proxies: IndexedVec<ProxyIndex, ProxyState>,
 }
 
 impl DrainRule {
-    /// For a fleet that has just started; `pushed`: lists are pushed by an agent beside each proxy.
+    /// Creates the rule for a fleet that has just started; `pushed` says whether an agent beside each proxy pushes
+    /// lists.
     pub fn new(proxies: usize, pushed: bool) -> Self {
         DrainRule {
             pushed,
@@ -144,17 +149,17 @@
         }
     }
 
-    /// A proxy has started; nothing that was written before counts.
+    /// Records that a proxy has started, and forgets everything that was written to it before.
     pub fn proxy_started(&mut self, now: Millis, proxy: ProxyIndex) {
         self.proxies[proxy] = ProxyState::new(now);
     }
 
-    /// Discovery has a change and can be reached.
+    /// Records that discovery has a change and is reachable.
     pub fn discovery_updated(&mut self, now: Millis, entry: &Endpoint) {
         record_drain(&mut self.draining_since, now, entry);
     }
 
-    /// Discovery has written a list or changes to a proxy.
+    /// Records that discovery has written a list or changes to a proxy.
     pub fn list_written(&mut self, now: Millis, proxy: ProxyIndex, list: WrittenList<'_>) {
         let state = &mut self.proxies[proxy];
         if list.complete {
@@ -175,42 +180,44 @@
         }
     }
 
-    /// A proxy's watch has stalled.
+    /// Records that a proxy's watch has stalled.
     pub fn watch_stalled(&mut self, now: Millis, proxy: ProxyIndex) {
         let state = &mut self.proxies[proxy];
         state.watch = Watch::Stalled;
         state.stalled_at = state.stalled_at.or(Some(now));
     }
 
-    /// A proxy's watch has ended or was given up.
+    /// Records that a proxy's watch has ended or was given up.
     pub fn watch_closed(&mut self, now: Millis, proxy: ProxyIndex) {
         self.proxies[proxy].watch = Watch::Closed { since: now };
     }
 
-    /// Discovery has another address, and a proxy has been notified of that.
+    /// Records that discovery has moved to another address and that a proxy has been notified of the move.
     pub fn discovery_moved(&mut self, now: Millis, proxy: ProxyIndex) {
         self.proxies[proxy].moved_at = Some(now);
     }
 
-    /// Since when a backend's drain or removal counts as notified to a proxy; `None` if it accepts requests.
+    /// The time from which a backend's drain or removal counts as notified to a proxy; `None` if the backend accepts
+    /// requests.
     pub fn notified_since(&self, proxy: ProxyIndex, backend: BackendIndex) -> Option<NotifiedSince> {
         let state = &self.proxies[proxy];
         let written = state.written.get(&backend);
         let written = written.map(|&at| NotifiedSince { at, basis: NotificationBasis::Written });
-        let unwritten = self.draining_since.get(&backend).map(|&since| self.unwritten(state, since));
+        let unwritten =
+            self.draining_since.get(&backend).map(|&since| self.unwritten_notifications(state, since));
         let moments = written.into_iter().chain(unwritten.into_iter().flatten());
         moments.min_by(|one, other| one.at.total_cmp(&other.at))
     }
 
-    /// When a change counts as notified for other reasons than that it was written; discovery has it since
-    /// `changed_at`.
-    fn unwritten(&self, state: &ProxyState, changed_at: Millis) -> Vec<NotifiedSince> {
-        let mut moments = vec![(changed_at + AFTER_CHANGE, NotificationBasis::Assumed)];
+    /// The times from which a change counts as notified, for every reason except that it was written to the proxy.
+    /// `changed_at` is the time from which discovery had the change.
+    fn unwritten_notifications(&self, state: &ProxyState, changed_at: Millis) -> Vec<NotifiedSince> {
+        let mut moments = vec![(changed_at + NOTIFIED_AFTER_CHANGE, NotificationBasis::Assumed)];
         if let Some(stalled_at) = state.stalled_at {
-            moments.push((changed_at.max(stalled_at + AFTER_CHANGE), NotificationBasis::Stalled));
+            moments.push((changed_at.max(stalled_at + NOTIFIED_AFTER_CHANGE), NotificationBasis::Stalled));
         }
         if let Some(moved_at) = state.moved_at {
-            moments.push((changed_at.max(moved_at + AFTER_MOVE), NotificationBasis::Moved));
+            moments.push((changed_at.max(moved_at + NOTIFIED_AFTER_MOVE), NotificationBasis::Moved));
         }
         if let Some(pushed_at) = self.pushed_at(state, changed_at) {
             moments.push((pushed_at, NotificationBasis::Pushed));
@@ -220,7 +227,8 @@
         moments.into_iter().map(not_before_start).collect()
     }
 
-    /// When a change was pushed, if that is the limit that applies.
+    /// Time at which a change was pushed; `None` if lists are not pushed, or if the limit for stalled watches or for
+    /// moves applies instead.
     fn pushed_at(&self, state: &ProxyState, changed_at: Millis) -> Option<Millis> {
         let moved_before = state.moved_at.is_some_and(|at| at <= changed_at);
         if !self.pushed || moved_before {
@@ -234,10 +242,10 @@
         }
     }
 
-    /// Checks a send against the rule.
+    /// Checks an attempt against the rule.
     ///
     /// # Errors
-    /// If it violates the rule.
+    /// Returns an error if the attempt violates the rule.
     pub fn check(
         &self, proxy: ProxyIndex, backend: BackendIndex, first_byte: Millis,
     ) -> Result<(), SendAfterDrain> {
@@ -250,7 +258,8 @@
     }
 }
 
-/// Records since when an entry's backend drains or is removed; one that is up again is dropped.
+/// Records the time from which an entry's backend drains or is removed; removes a backend that is up again from
+/// `since`.
 fn record_drain(since: &mut FxHashMap<BackendIndex, Millis>, now: Millis, entry: &Endpoint) {
     let backend = backend_of(entry);
     match entry.state {
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet: workloads sampled from scenarios by a seed and run in simulated time, with the core's decisions
-//! exactly as in service. What the model assumes and leaves out is listed in `docs/simulator.md`.
+//! Simulates fleets of proxies. A seed samples a workload from a scenario; the workload runs in simulated time, with
+//! the same decision code as in production. `docs/simulator.md` lists the assumptions and the limits of the model.
 
 pub mod adapter;
 pub mod backend;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -32,7 +32,7 @@
     Baselines(commands::baselines::Arguments),
     /// Compare two versions on the same workloads
     Compare(commands::compare::Arguments),
-    /// Break all watches of fleets at once and report when every proxy has its list again
+    /// Break all watches of a fleet at once and report when every proxy has its list again
     Reconnect(commands::reconnect::Arguments),
     /// Report how close backends in slow start come to an overload, by proxies, lost gossip and restarts
     #[command(name = "cold")]
--- a/crates/simulator/src/paired_difference.rs
+++ b/crates/simulator/src/paired_difference.rs
@@ -1,4 +1,4 @@
-//! Two versions on the same workloads: differences paired by seed, and whether they are significant.
+//! Compares two versions on the same workloads: differences paired by seed, and their significance.
 
 use serde::Serialize;
 
@@ -7,29 +7,29 @@
 #[cfg(test)]
 mod tests;
 
-/// Resamples of the bootstrap.
+/// Number of resamples of the bootstrap.
 const RESAMPLES: usize = 4000;
-/// What the interval leaves out at each end: it holds 95%.
-const TAIL: f64 = 0.025;
+/// Fraction of the resampled medians beyond each end of the interval, which so contains 95% of them.
+const TAIL_FRACTION: f64 = 0.025;
 
 /// One figure of two versions on the same workload.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Pair {
-    /// Of version A.
+    /// The figure of version A.
     pub a: f64,
-    /// Of version B.
+    /// The figure of version B.
     pub b: f64,
 }
 
-/// On how many workloads B is ahead, behind, and equal.
+/// Numbers of workloads on which B is ahead of A, behind A and equal to A.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(into = "[usize; 3]")]
 pub struct Wins {
-    /// B is greater.
+    /// Workloads on which the figure of B is greater.
     pub ahead: usize,
-    /// B is less.
+    /// Workloads on which the figure of B is less.
     pub behind: usize,
-    /// Both are equal.
+    /// Workloads on which both figures are equal.
     pub equal: usize,
 }
 
@@ -39,22 +39,22 @@
     }
 }
 
-/// Paired differences of one figure, B less A.
+/// Statistics of the paired differences of one figure, B minus A.
 #[derive(Clone, Debug, Serialize)]
 pub struct PairedDifference {
-    /// Their median.
+    /// Median of the differences.
     pub median: f64,
-    /// Lower bound of the interval that holds 95% of the medians of resampled differences (percentile bootstrap, Efron
-    /// 1979).
+    /// Lower bound of the interval that contains 95% of the medians of resampled differences (percentile bootstrap,
+    /// Efron 1979).
     pub low: f64,
-    /// Its upper bound.
+    /// Upper bound of the same interval.
     pub high: f64,
-    /// How often which version is ahead.
+    /// Numbers of workloads on which each version is ahead.
     pub wins: Wins,
 }
 
 impl PairedDifference {
-    /// Of these pairs, by resampling from `seed`; `None` without pairs.
+    /// Computes the statistics of some pairs, with resampling seeded by `seed`; `None` without pairs.
     pub fn new(pairs: &[Pair], seed: u64) -> Option<Self> {
         if pairs.is_empty() {
             return None;
@@ -64,8 +64,8 @@
         let quantile = |fraction: f64| medians[((RESAMPLES - 1) as f64 * fraction).round() as usize];
         Some(PairedDifference {
             median: median(differences.clone()),
-            low: quantile(TAIL),
-            high: quantile(1.0 - TAIL),
+            low: quantile(TAIL_FRACTION),
+            high: quantile(1.0 - TAIL_FRACTION),
             wins: Wins {
                 ahead: differences.iter().filter(|difference| **difference > 0.0).count(),
                 behind: differences.iter().filter(|difference| **difference < 0.0).count(),
@@ -74,13 +74,13 @@
         })
     }
 
-    /// Whether the interval leaves out 0.
+    /// Whether the interval does not contain 0.
     pub fn is_significant(&self) -> bool {
         self.low > 0.0 || self.high < 0.0
     }
 }
 
-/// Medians of samples with replacement, in ascending order.
+/// Medians of [`RESAMPLES`] samples with replacement, in ascending order.
 fn resampled_medians(differences: &[f64], seed: u64) -> Vec<f64> {
     let mut random = RandomStream::new(seed, "bootstrap");
     let count = differences.len();
@@ -90,7 +90,7 @@
     medians
 }
 
-/// The middle one of some values, or the mean of the two in the middle.
+/// The median of some values: the middle one, or the mean of the two in the middle.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
--- a/crates/simulator/src/paired_difference/tests.rs
+++ b/crates/simulator/src/paired_difference/tests.rs
@@ -1,4 +1,4 @@
-//! Significance of paired differences.
+//! Tests of the significance of paired differences.
 
 use super::*;
 
--- a/crates/simulator/src/reconnect.rs
+++ b/crates/simulator/src/reconnect.rs
@@ -1,9 +1,10 @@
-//! A reconnection storm: all watches of a fleet break at once, and discovery answers only so many calls a second.
+//! Simulates a reconnection storm: all watches of a fleet break at once, and discovery answers a limited number of
+//! calls a second.
 //!
-//! Assumptions, after the operators' pages: the queue of [`crate::discovery`], served in turn; a call that would wait
-//! longer than the service's own limit is refused, at once or when its wait is over; a call that its proxy has given up
-//! is served all the same, for nothing, as its place in the queue can't be taken back. Policies are the core's;
-//! network and size of the lists take no time.
+//! Assumptions, after the operators' documents: calls wait in the first-in, first-out queue of [`crate::discovery`]. A
+//! call that would wait longer than the service's limit is refused, at once or when that wait is over. A call that its
+//! proxy has given up is still served, which wastes capacity, because it can't leave the queue. All proxies run the
+//! core. The network and the transfer of lists take no time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -19,64 +20,64 @@
 use crate::random::RandomStream;
 use crate::time::{MS_PER_S, OrderedTime};
 
-/// A change counts as notified this time after discovery had it.
+/// Time after which a change that discovery has counts as notified.
 const NOTIFIED_AFTER: Millis = 6000.0;
 
-/// The service and how proxies wait for it.
+/// Parameters of a reconnection storm.
 #[derive(Clone, Copy, Debug)]
 pub struct ReconnectStorm {
     /// Proxies whose watches break at time 0.
     pub proxies: u32,
-    /// Calls a second that the service answers, for each proxy of the fleet.
+    /// Calls a second that discovery answers, for each proxy of the fleet.
     pub calls_per_s: f64,
-    /// A call that would wait longer is refused.
+    /// Longest wait of a call; discovery refuses a call that would wait longer.
     pub max_wait: Millis,
-    /// Refusals come when that wait is over, not at once.
+    /// Whether discovery refuses a call only when `max_wait` is over, not at once.
     pub late_refusals: bool,
-    /// A proxy gives a call up after this time.
+    /// Time after which a proxy gives a call up.
     pub call_timeout: Millis,
-    /// For how long the storm is observed.
+    /// Simulated time.
     pub duration: Millis,
 }
 
-/// What became of a storm.
+/// Result of a storm.
 #[derive(Clone, Debug, Serialize)]
 pub struct StormResult {
     /// Seed of the run.
     pub seed: u64,
-    /// When half of the proxies had their list again; `None` if they never had.
+    /// Time at which half of the proxies had their list again; `None` if that was not reached.
     pub half_ms: Option<Millis>,
-    /// When the last one had.
+    /// Time at which the last proxy had its list again; `None` if that was not reached.
     pub last_ms: Option<Millis>,
-    /// Proxies without a list after 6 s, when a change counts as notified.
+    /// Number of proxies without a list after 6 s, when a change counts as notified.
     #[serde(rename = "ignorant")]
     pub without_list: usize,
-    /// Calls in all.
+    /// Number of all calls.
     pub calls: usize,
-    /// Those refused by the service.
+    /// Number of calls that discovery refused.
     pub refused: usize,
-    /// Those given up by their proxy, which were served for nothing.
+    /// Number of calls that their proxy gave up, which discovery served to no effect.
     pub given_up: usize,
-    /// Calls of all proxies in their busiest second.
+    /// Most calls of all proxies within one second.
     #[serde(rename = "most_calls_per_s")]
     pub max_calls_per_s: usize,
 }
 
-/// What happens to a proxy.
+/// An event at a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A timer has expired.
+    /// A timer of the proxy has expired.
     Timer(u64),
-    /// It gets its list.
+    /// The proxy receives its list.
     ListReceived,
-    /// Its watch or call fails.
+    /// The watch or a call of the proxy fails.
     CallFailed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledEvent {
     at: OrderedTime,
-    /// Events of one time happen in the order in which they were scheduled.
+    /// Number of the event; events at the same time happen in the order in which they were scheduled.
     sequence: usize,
     proxy: ProxyIndex,
     event: Event,
@@ -89,7 +90,7 @@
     scheduled: BinaryHeap<Reverse<ScheduledEvent>>,
     next_sequence: usize,
     queue: CallQueue,
-    /// When each proxy had its list again.
+    /// Time at which each proxy first had its list again.
     listed_at: IndexedVec<ProxyIndex, Option<Millis>>,
     call_times: Vec<Millis>,
     refused: usize,
@@ -129,12 +130,12 @@
         self.next_sequence += 1;
     }
 
-    /// Each proxy has a watch until it breaks at time 0.
+    /// Gives each proxy a watch and schedules its failure at time 0.
     fn break_watches(&mut self) {
         let mut actions = Vec::new();
         for proxy in self.proxies.indices() {
             let balancer = &mut self.proxies[proxy];
-            balancer.handle(0.0, list(ListScope::Cached), &mut actions);
+            balancer.handle(0.0, list_event(ListScope::Cached), &mut actions);
             balancer.handle(0.0, ProxyEvent::Timer(0), &mut Vec::new());
             self.schedule(0.0, proxy, Event::CallFailed);
             for action in actions.drain(..) {
@@ -163,11 +164,11 @@
     fn proxy_event(&mut self, now: Millis, proxy: ProxyIndex, event: Event) -> ProxyEvent {
         match event {
             Event::Timer(token) => ProxyEvent::Timer(token),
-            Event::CallFailed => list(ListScope::Failed),
+            Event::CallFailed => list_event(ListScope::Failed),
             Event::ListReceived => {
                 let listed_at = &mut self.listed_at[proxy];
                 *listed_at = listed_at.or(Some(now));
-                list(ListScope::Full)
+                list_event(ListScope::Full)
             }
         }
     }
@@ -180,7 +181,7 @@
         }
     }
 
-    /// A proxy calls discovery.
+    /// Handles a proxy's call to discovery.
     fn call(&mut self, now: Millis, proxy: ProxyIndex) {
         self.call_times.push(now);
         let call_timeout = self.storm.call_timeout;
@@ -216,18 +217,18 @@
     }
 
     fn max_calls_per_s(&self) -> usize {
-        let within_a_second = |(first, start): (usize, &Millis)| {
-            self.call_times[first..].iter().take_while(|at| **at < start + MS_PER_S).count()
+        let within_a_second = |(call_index, start): (usize, &Millis)| {
+            self.call_times[call_index..].iter().take_while(|at| **at < start + MS_PER_S).count()
         };
         self.call_times.iter().enumerate().map(within_a_second).max().unwrap_or(0)
     }
 }
 
-fn list(scope: ListScope) -> ProxyEvent {
+fn list_event(scope: ListScope) -> ProxyEvent {
     ProxyEvent::List { scope, entries: Vec::new() }
 }
 
-/// Settings of a proxy that only keeps a watch.
+/// Settings of a proxy that keeps a watch and serves no requests.
 fn settings(proxy_index: u32, proxies: u32) -> Settings {
     Settings {
         proxy_index,
--- a/crates/simulator/src/report/mod.rs
+++ b/crates/simulator/src/report/mod.rs
@@ -1,6 +1,7 @@
-//! What is recorded of a run: one outcome for each request, counters, violations and, from these, the result.
+//! Records of a run: one outcome for each request, counters and violations, and the result that is computed from these.
 //!
-//! Keys of the results are the operators'; the fields map them to the field's terms once, here.
+//! The operators chose the keys of the results. Where the name of a field differs from its key, a serde attribute holds
+//! the key.
 
 mod outcome;
 mod result;
@@ -15,18 +16,18 @@
 use crate::index::{BackendIndex, ProxyIndex, RequestIndex};
 use crate::slow_start::SlowStartReport;
 
-/// How one request ended.
+/// The record of how one request ended.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
-    /// Which request.
+    /// The request.
     pub request: RequestIndex,
-    /// Its outcome.
+    /// The outcome of the request.
     pub outcome: RequestOutcome,
-    /// The proxy of its last attempt.
+    /// The proxy of the last attempt.
     pub proxy: ProxyIndex,
-    /// The backend of its last attempt.
+    /// The backend of the last attempt; `None` if there was no attempt at a backend.
     pub backend: Option<BackendIndex>,
-    /// Whether it was within its tenant's quota.
+    /// Whether the request was within its tenant's quota.
     pub within_quota: bool,
 }
 
@@ -43,7 +44,7 @@
     pub cross_zone_attempts: u64,
     /// Connections opened to backends.
     pub handshakes: u64,
-    /// Bytes of gossip, each receiver counted.
+    /// Bytes of gossip, counted once for each receiver.
     #[serde(rename = "peer_bytes")]
     pub gossip_bytes: u64,
     /// Gossip messages sent.
@@ -52,31 +53,31 @@
     /// Calls to discovery.
     #[serde(rename = "calls")]
     pub discovery_calls: u64,
-    /// Those that failed.
+    /// Calls to discovery that failed.
     #[serde(rename = "calls_failed")]
     pub discovery_calls_failed: u64,
     /// Rejections by proxies whose list might have been stale.
     #[serde(rename = "refused_without_list")]
     pub rejected_without_list: u64,
-    /// Work done for attempts whose response nobody received, on a standard core.
+    /// Work for attempts whose response no client received, as time on a standard core.
     #[serde(rename = "wasted")]
     pub wasted_work: Millis,
     /// Events that proxies handled.
     pub events: u64,
-    /// Mean utilisation of the cores.
+    /// Mean utilisation of the backends' cores.
     #[serde(rename = "busy")]
     pub utilisation: f64,
 }
 
-/// All that is recorded of a run.
+/// All records of a run.
 #[derive(Default)]
 pub struct Recorder {
     /// One record for each request.
     pub requests: Vec<RequestRecord>,
-    /// Counters.
+    /// Counters of the run.
     pub counters: Counters,
     /// How close backends in slow start came to an overload.
     pub slow_start: SlowStartReport,
-    /// Violated rules.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
 }
--- a/crates/simulator/src/report/outcome.rs
+++ b/crates/simulator/src/report/outcome.rs
@@ -1,44 +1,46 @@
-//! How requests end.
+//! Outcomes of requests.
 
 use serde::{Serialize, Serializer};
 
-/// Why a request earned nothing, or that it earned its weight.
+/// The outcome of a request: it was served and earned its weight, or the cause for which it earned nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestOutcome {
-    /// Answered within its latency objective.
+    /// The request was answered within its latency objective.
     Served,
-    /// Answered after its latency objective.
+    /// The request was answered after its latency objective.
     Late,
-    /// Rejected without an attempt while a healthy backend had an idle core.
+    /// The request was rejected without an attempt while a healthy backend had an idle core.
     RejectedBesideIdle,
-    /// Rejected without an attempt while none had.
+    /// The request was rejected without an attempt while no healthy backend had an idle core.
     RejectedAllBusy,
-    /// Queued without an attempt until it was of no more use, and then a healthy backend had an idle core.
+    /// The request was queued without an attempt until an answer was useless, and a healthy backend had an idle core
+    /// at that time.
     QueuedBesideIdle,
-    /// The same, and none had.
+    /// The request was queued without an attempt until an answer was useless, and no healthy backend had an idle core
+    /// at that time.
     QueuedAllBusy,
-    /// Its last attempt was rejected by a backend at capacity or draining.
+    /// The last attempt was rejected by a backend at capacity or draining.
     BackendFull,
-    /// Its last attempt met a backend that was down.
+    /// The last attempt went to a backend that was down.
     BackendDown,
-    /// Its last attempt met a backend with a fault: unresponsive, or failing requests.
+    /// The last attempt went to a backend with a fault: unresponsive, or failing requests.
     BackendUnhealthy,
-    /// Its last attempt met a backend in slow start that did not answer in time.
+    /// The last attempt went to a backend in slow start that did not answer in time.
     BackendWarmingUp,
-    /// Its last attempt was queued or processed for too long.
+    /// The last attempt was queued or processed by the backend for too long.
     BackendBusy,
-    /// Its last attempt failed at random, as some do everywhere.
+    /// The last attempt failed by the random error rate that every backend has.
     BackendError,
-    /// The network was partitioned.
+    /// A network partition separated the proxy from the backend of the last attempt.
     NetworkPartition,
-    /// Its proxy crashed or was down.
+    /// The proxy of the request crashed or was down.
     ProxyDown,
     /// The client disconnected before its deadline.
     ClientDisconnected,
 }
 
 impl RequestOutcome {
-    /// Its name in results.
+    /// The name of the outcome in results.
     pub fn name(self) -> &'static str {
         match self {
             RequestOutcome::Served => "served",
--- a/crates/simulator/src/report/result.rs
+++ b/crates/simulator/src/report/result.rs
@@ -1,4 +1,4 @@
-//! The result of a run: its score by the operators' weights and prices, and the weight lost by cause.
+//! The result of a run: the score by the operators' weights and prices, and the lost weight by cause.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 use crate::time::MS_PER_S;
 use crate::workload::{Request, Workload};
 
-/// The window of the worst service, in seconds.
+/// Length in seconds of the windows among which the worst is reported.
 const WINDOW_S: usize = 10;
-/// Bytes of gossip that the price is for.
+/// Number of bytes of gossip that the price of gossip applies to.
 const PRICED_GOSSIP_BYTES: f64 = 256.0;
-/// Violations that a result lists.
+/// The most violations that a result lists.
 const MAX_LISTED_VIOLATIONS: usize = 20;
-/// Keeps divisions defined where nothing was offered.
+/// Lower bound of divisors, which keeps divisions defined where nothing was offered.
 const MIN_TOTAL: f64 = 1e-9;
 
-/// What the parts of the service weigh in the score, by the operators' brief.
+/// Weights of the parts of the service in the score, as the operators specified them.
 mod score_weight {
     pub const RUN: f64 = 0.25;
     pub const WORST_WINDOW: f64 = 0.45;
@@ -30,29 +30,29 @@
 /// Weight by outcome, as a fraction of all weight offered.
 pub type OutcomeWeights = BTreeMap<RequestOutcome, f64>;
 
-/// By what the outcomes are broken down.
+/// A dimension by which the outcomes are broken down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Dimension {
     /// The backend of the last attempt.
     Backend,
-    /// The class.
+    /// The class of the request.
     Class,
     /// The proxy of the last attempt.
     Proxy,
-    /// The second of the arrival.
+    /// The second of the run in which the request arrived.
     Second,
-    /// The zone.
+    /// The zone of the request.
     Zone,
 }
 
-/// The window with the least weight served.
+/// The window with the smallest fraction of its weight served.
 #[derive(Clone, Copy, Debug, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct WorstWindow {
     /// Weight served in time over weight offered.
     pub served: f64,
-    /// When it starts, in seconds.
+    /// Start of the window, in seconds.
     pub start_s: f64,
 }
 
@@ -62,23 +62,23 @@
     }
 }
 
-/// What was charged, as a fraction of the weight of a mean request.
+/// Charges of a run, as a fraction of the weight of a mean request.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Charges {
-    /// For attempts that cross zones.
+    /// Charge for attempts that cross zones.
     pub cross_zone: f64,
-    /// For new connections.
+    /// Charge for new connections.
     pub handshake: f64,
-    /// For gossip.
+    /// Charge for gossip.
     #[serde(rename = "peer")]
     pub gossip: f64,
-    /// For wasted work.
+    /// Charge for wasted work.
     #[serde(rename = "waste")]
     pub wasted_work: f64,
 }
 
 impl Charges {
-    /// The sum of all.
+    /// The sum of all charges.
     pub fn total(&self) -> f64 {
         self.cross_zone + self.handshake + self.gossip + self.wasted_work
     }
@@ -87,44 +87,44 @@
 /// The result of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct RunResult {
-    /// Scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Seed.
+    /// Seed of the workload.
     pub seed: u64,
-    /// Whose decisions.
+    /// Name of the version that made the decisions.
     pub version: String,
-    /// Service by the operators' weights, less charges.
+    /// Service by the operators' weights, minus the charges.
     #[serde(rename = "g")]
     pub score: f64,
     /// Weight served in time over weight offered.
     pub served: f64,
-    /// The same in the worst 10 s.
+    /// Weight served in time over weight offered, in the worst 10 s.
     pub worst_window: WorstWindow,
-    /// The same for the worst class.
+    /// Weight served in time over weight offered, for the worst class.
     pub worst_class: f64,
-    /// The same for the worst tenant within its quota.
+    /// Weight served in time over weight offered, for the worst tenant; only requests within its quota count.
     pub worst_tenant: f64,
-    /// What was charged.
+    /// The charges.
     #[serde(rename = "prices")]
     pub charges: Charges,
-    /// Weight by outcome.
+    /// Weight by outcome, as a fraction of all weight offered.
     #[serde(rename = "ends")]
     pub outcomes: OutcomeWeights,
-    /// The same broken down; each dimension sums to `outcomes`.
+    /// Weight by outcome, broken down by dimension and value; the sum over the values of a dimension is `outcomes`.
     #[serde(rename = "by")]
     pub outcomes_by: BTreeMap<Dimension, BTreeMap<String, OutcomeWeights>>,
-    /// Requests.
+    /// Number of requests.
     pub requests: usize,
-    /// Counters.
+    /// Counters of the run.
     #[serde(rename = "sums")]
     pub counters: Counters,
     /// How close backends in slow start came to an overload.
     #[serde(rename = "cold")]
     pub slow_start: SlowStartReport,
-    /// How many violations there were.
+    /// Number of violations.
     #[serde(rename = "broken_rules")]
     pub violation_count: usize,
-    /// The first of them.
+    /// The first 20 violations.
     #[serde(rename = "broken")]
     pub violations: Vec<Violation>,
 }
@@ -233,7 +233,7 @@
 }
 
 impl Recorder {
-    /// The result of a run by the decisions of a version.
+    /// Computes the result of a run with the decisions of a version.
     pub fn result(&self, workload: &Workload, version: &str) -> RunResult {
         let mut totals = Totals::new(workload);
         for record in &self.requests {
--- a/crates/simulator/src/report/violation.rs
+++ b/crates/simulator/src/report/violation.rs
@@ -1,4 +1,4 @@
-//! Rules that a run is checked against.
+//! Rules that a run is checked against, and their violations.
 
 use leadrelay_core::Millis;
 use serde::{Serialize, Serializer};
@@ -10,26 +10,26 @@
     OneAttemptInFlight,
     /// A request has no more attempts than the settings allow.
     MaxAttempts,
-    /// What may have been executed is repeated only if it is idempotent.
+    /// A request that may have been executed is retried only if it is idempotent.
     IdempotentRetries,
     /// Nothing is sent to a backend whose drain counts as notified.
     NoSendAfterDrain,
-    /// A request gets one final answer.
+    /// A request gets exactly one final answer.
     OneFinalAnswer,
     /// A request is answered before its client gives up.
     AnswerBeforeTimeout,
-    /// What may have been executed is not rejected, unless it is idempotent.
+    /// A request that may have been executed is rejected only if it is idempotent.
     RejectOnlyUnexecuted,
     /// A gossip message has at most 256 bytes.
     GossipSize,
     /// No backend in slow start is overloaded.
     NoSlowStartOverload,
-    /// The policy reports no violated invariant of its own.
+    /// The policy reports no violation of its internal invariants.
     PolicyInvariants,
 }
 
 impl Rule {
-    /// Its name in results.
+    /// The name of the rule in results.
     pub fn name(self) -> &'static str {
         match self {
             Rule::OneAttemptInFlight => "never two attempts out",
@@ -52,14 +52,14 @@
     }
 }
 
-/// A violation of a rule, with where to look.
+/// A violation of a rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Violation {
-    /// Which rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When.
+    /// Time of the violation.
     pub at: Millis,
-    /// The request, proxy or backend.
+    /// The request, proxy or backend concerned.
     #[serde(rename = "what")]
     pub details: String,
 }
--- a/crates/simulator/src/scenario/error.rs
+++ b/crates/simulator/src/scenario/error.rs
@@ -1,52 +1,52 @@
-//! What can be wrong with a scenario file.
+//! Errors in scenario files.
 
 use std::path::{Path, PathBuf};
 
 use super::fault::FaultKind;
 
-/// What is wrong with a scenario file: one line with file and place.
+/// An error in a scenario file. The message is one line, with the file and, where known, the position.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// It is not TOML, or a key is wrong.
+    /// The file is not TOML, or a key is wrong.
     #[error("{}:{line}:{column}: {message}", path.display())]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// From 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// From 1.
+        /// Column of the error in characters, counted from 1.
         column: usize,
-        /// What is wrong there.
+        /// Message of the TOML parser.
         message: String,
     },
-    /// Merged with its base, a key is wrong.
+    /// A key is wrong after the file has been merged with its base.
     #[error("{}: {message}", path.display())]
     MalformedMerge {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong.
+        /// Message of the TOML parser.
         message: String,
     },
-    /// Its values are out of range.
+    /// A value is out of range.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is out of range.
+        /// The value that is out of range.
         source: InvalidScenario,
     },
 }
 
 impl ScenarioError {
-    /// An error of the TOML parser in a text, with the place that it names.
+    /// Converts an error of the TOML parser, with the position in the text.
     pub(super) fn malformed(path: &Path, text: &str, error: &toml::de::Error) -> Self {
         let offset = error.span().map_or(0, |span| span.start.min(text.len()));
         let before = &text[..offset];
@@ -56,7 +56,7 @@
         ScenarioError::Malformed { path: path.to_owned(), line, column, message }
     }
 
-    /// An error in the table that a file makes with its base, where no place is known.
+    /// Converts an error in the table that results from merging a file with its base, for which no position is known.
     pub(super) fn malformed_merge(path: &Path, error: &toml::de::Error) -> Self {
         ScenarioError::MalformedMerge { path: path.to_owned(), message: one_line(error.message()) }
     }
@@ -69,42 +69,42 @@
 /// A value of a scenario that is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidScenario {
-    /// The length of the run.
-    #[error("seconds = {0}: a run lasts up to 86400")]
+    /// The duration of the run is out of range.
+    #[error("seconds = {0}: must be above 0 and at most 86400")]
     Duration(f64),
-    /// Too many or too few of something.
-    #[error("{key} = {value}: from 1 to {max}")]
+    /// A number of proxies or backends is out of range.
+    #[error("{key} = {value}: must be from 1 to {max}")]
     Count {
-        /// The key.
+        /// Key in the file.
         key: &'static str,
-        /// Its value.
+        /// Value of the key.
         value: usize,
-        /// The largest value allowed.
+        /// Largest value allowed.
         max: usize,
     },
     /// A list is empty.
-    #[error("no {0}")]
+    #[error("{0} must not be empty")]
     Empty(&'static str),
-    /// Not a fraction.
-    #[error("{key} = {value}: a fraction from 0 to 1")]
+    /// A value is not a fraction from 0 to 1.
+    #[error("{key} = {value}: must be a fraction from 0 to 1")]
     Fraction {
-        /// The key.
+        /// Key in the file.
         key: &'static str,
-        /// Its value.
+        /// Value of the key.
         value: f64,
     },
     /// A range whose bounds are negative, infinite or in the wrong order.
-    #[error("[{low}, {high}] is an empty range, or below 0")]
+    #[error("[{low}, {high}] is an empty range, negative or not finite")]
     Range {
-        /// Lower bound.
+        /// Lower bound of the range.
         low: f64,
-        /// Upper bound.
+        /// Upper bound of the range.
         high: f64,
     },
-    /// A fault that affects more than all of its targets.
+    /// The fraction of the targets that a fault affects is above 1.
     #[error("a fault affects {0} times its targets")]
     FaultFraction(f64),
-    /// A fault that starts after the end.
+    /// A fault starts after the end of the run.
     #[error("{0:?} starts after the end of the run")]
     FaultStart(FaultKind),
 }
--- a/crates/simulator/src/scenario/fault.rs
+++ b/crates/simulator/src/scenario/fault.rs
@@ -4,7 +4,7 @@
 
 use crate::random::Range;
 
-/// What may go wrong in a run. The names are those of the files.
+/// The kind of a fault. Scenario files name the kinds in snake case; `size` stands for the fault's magnitude.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
@@ -18,9 +18,9 @@
     LoseZone,
     /// One zone is partitioned from the others, for requests and gossip.
     CutZone,
-    /// A fraction of the backends is unresponsive: they accept requests and answer none.
+    /// A fraction of the backends is unresponsive: they accept requests and send no responses.
     SilentBackends,
-    /// A fraction of the backends fails this fraction (`size`) of its requests, at once.
+    /// A fraction of the backends fails the fraction `size` of their requests immediately.
     FailingBackends,
     /// A fraction of the backends is slower by the factor `size`.
     SlowBackends,
@@ -28,7 +28,7 @@
     Burst,
     /// The first tenant's traffic is multiplied by `size`.
     TenantBurst,
-    /// A fraction of the proxies gets the fraction `size` of all traffic.
+    /// A fraction of the proxies receives the fraction `size` of all traffic.
     HotProxies,
     /// Discovery has an outage.
     DiscoveryDown,
@@ -38,7 +38,8 @@
     BreakWatches,
     /// Discovery moves to another address, and every proxy is notified.
     MoveDiscovery,
-    /// A fraction of the backends drains over the duration; each stops after `size` seconds, with 0 it stays up.
+    /// A fraction of the backends drains over the duration. Each stops after `size` seconds, or stays up if `size`
+    /// is 0.
     DrainBackends,
 }
 
@@ -46,18 +47,18 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultSpec {
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it starts, as a fraction of the run.
+    /// Start of the fault, as a fraction of the run.
     #[serde(rename = "at")]
     pub start: Range,
-    /// For how long.
+    /// Duration of the fault, in seconds.
     #[serde(default = "zero", rename = "seconds")]
     pub duration_s: Range,
-    /// Which fraction of its targets it affects.
+    /// Fraction of the targets that the fault affects.
     #[serde(default = "zero", rename = "part")]
     pub fraction: Range,
-    /// How strong it is; see [`FaultKind`].
+    /// Magnitude of the fault (`size`), whose meaning and unit depend on the [`FaultKind`].
     #[serde(default = "zero", rename = "size")]
     pub magnitude: Range,
 }
--- a/crates/simulator/src/scenario/file.rs
+++ b/crates/simulator/src/scenario/file.rs
@@ -1,14 +1,14 @@
-//! Reads scenario files.
+//! Reads scenario files and merges them with their base.
 
 use std::path::Path;
 
 use super::{Scenario, ScenarioError};
 
 impl Scenario {
-    /// Reads a scenario, with the keys of the one that it names as its base.
+    /// Reads and validates a scenario. Keys that the file does not set come from the base that it names.
     ///
     /// # Errors
-    /// One line with file and place.
+    /// Returns an error if a file can't be read or parsed, or if a value is out of range.
     pub fn read(path: &Path) -> Result<Self, ScenarioError> {
         let scenario = parse(path)?;
         let invalid = |source| ScenarioError::Invalid { path: path.to_owned(), source };
@@ -38,7 +38,7 @@
     text.parse::<toml::Table>().map_err(|error| ScenarioError::malformed(path, text, &error))
 }
 
-/// Replaces values of `base` by those of `overrides`: tables key by key, all else entirely.
+/// Replaces values of `base` by those of `overrides`: tables key by key, all other values as a whole.
 fn merge(base: &mut toml::Table, overrides: toml::Table) {
     for (key, value) in overrides {
         match (base.get_mut(&key), value) {
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -1,7 +1,8 @@
 //! Scenarios: the parameters of a simulated fleet and its faults as TOML, many of them as ranges from which a seed
 //! samples one workload.
 //!
-//! Keys of the files are the operators'; the fields map them to the field's terms once, here.
+//! The operators chose the keys of the files. Where the name of a field differs from its key, a serde attribute holds
+//! the key.
 
 mod error;
 mod fault;
@@ -20,27 +21,27 @@
 use crate::random::Range;
 use crate::time::MS_PER_S;
 
-/// A kind of run. The unit of a time is part of its name; speeds are relative to a standard core.
+/// A scenario. The unit of a time is part of its name; speeds are relative to a standard core.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name in results.
+    /// Name of the scenario in results.
     pub name: String,
-    /// Another scenario in the same folder whose keys apply where this one has none.
+    /// File name of another scenario in the same folder, whose keys apply where this one sets none.
     #[serde(default)]
     pub base: Option<String>,
-    /// For how long requests arrive.
+    /// Time during which requests arrive, in seconds.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
-    /// How many proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// How many backends.
+    /// Number of backends.
     pub backends: usize,
     /// Names of the zones; backends and proxies are distributed over them.
     pub zones: Vec<String>,
     /// Offered work, as a fraction of the capacity of all backends.
     pub load: Range,
-    /// How far the zones' traffic deviates from an even distribution, 0 to 1.
+    /// Deviation of the zones' traffic from an even distribution, from 0 to 1.
     pub zone_skew: Range,
     /// Coefficient of variation of the proxies' fractions of their zone's traffic.
     pub proxy_spread: Range,
@@ -49,11 +50,11 @@
     /// The cache of a backend for affinity keys.
     #[serde(rename = "warm")]
     pub key_cache: KeyCacheSpec,
-    /// The network.
+    /// Parameters of the network.
     pub network: NetworkSpec,
-    /// The clients.
+    /// Behaviour of the clients.
     pub clients: ClientSpec,
-    /// The service that lists backends.
+    /// Discovery: the service that lists backends.
     pub discovery: DiscoverySpec,
     /// The rule on backends in slow start.
     #[serde(rename = "cold")]
@@ -63,19 +64,19 @@
     pub machine_classes: Vec<MachineClassSpec>,
     /// Classes of requests.
     pub classes: Vec<ClassSpec>,
-    /// Tenants.
+    /// Tenants that send requests.
     pub tenants: Vec<TenantSpec>,
     /// The weight of a request beyond its tenant's quota, as a fraction of its class's weight.
     #[serde(rename = "over_share_worth")]
     pub over_quota_weight: f64,
     /// Prices, as a fraction of the weight of a mean request.
     pub prices: PriceSpec,
-    /// Faults.
+    /// Faults of the run.
     #[serde(default)]
     pub faults: Vec<FaultSpec>,
 }
 
-/// The network between all parts.
+/// Parameters of the network between clients, proxies, backends and zones.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NetworkSpec {
@@ -97,81 +98,81 @@
     pub gossip_loss: f64,
     /// The cost of a new connection.
     pub handshake: HandshakeSpec,
-    /// A connection that is not established by then has failed.
+    /// Time in ms after which a connection that is not established has failed.
     pub connect_timeout_ms: f64,
-    /// Connections that a backend accepts.
+    /// The most connections that a backend accepts.
     #[serde(rename = "connections")]
     pub max_connections: Range,
 }
 
-/// How clients behave.
+/// Behaviour of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientSpec {
-    /// Retries that a client makes.
+    /// The most retries that a client makes.
     #[serde(rename = "retries")]
     pub max_retries: u32,
     /// The timeout of an attempt, as a fraction of the class's deadline.
     #[serde(rename = "try_share")]
     pub attempt_timeout: Range,
-    /// First backoff before a retry; it doubles.
+    /// Backoff before the first retry, which doubles with each further retry.
     pub backoff_ms: Range,
     /// The fraction of the clients that disconnect before their deadline.
     #[serde(rename = "impatient")]
     pub early_disconnects: Range,
-    /// For how long the front still sends to a proxy that has crashed.
+    /// Time in seconds for which the load balancer in front of the proxies still sends to a crashed proxy.
     #[serde(rename = "front_notice_s")]
     pub front_detection_s: Range,
 }
 
-/// The service that lists backends.
+/// Parameters of discovery, the service that lists backends.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DiscoverySpec {
-    /// After this delay it has a change.
+    /// Delay in seconds after which discovery has a change.
     #[serde(rename = "notice_s")]
     pub propagation_delay_s: Range,
-    /// Calls a second that it can answer.
+    /// Calls a second that discovery can answer.
     pub calls_per_s: Range,
-    /// A call that would wait longer fails.
+    /// Longest wait of a call in ms; a call that would wait longer fails.
     pub timeout_ms: f64,
-    /// Interval at which changes are written to watches.
+    /// Interval in ms at which changes are written to watches.
     #[serde(rename = "push_ms")]
     pub push_interval_ms: f64,
-    /// Lists are pushed by an agent beside each proxy: no call waits in a queue.
+    /// Whether an agent beside each proxy pushes lists, so that no call waits in a queue.
     #[serde(default)]
     pub pushed: bool,
-    /// What calls meet during an outage.
+    /// Behaviour of calls during an outage.
     #[serde(default)]
     pub outage: OutageMode,
-    /// The fraction of the calls with a known version that get the complete list all the same.
+    /// The fraction of the calls with a known version that get the complete list nevertheless.
     #[serde(default, rename = "whole_part")]
     pub full_list_fraction: f64,
-    /// Complete lists leave out backends that are draining.
+    /// Whether complete lists leave out backends that are draining.
     #[serde(default, rename = "hides_draining")]
     pub omits_draining: bool,
 }
 
-/// What a backend in slow start withstands.
+/// The load that a backend in slow start withstands.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SlowStartRule {
-    /// The fraction of its capacity that it has at once, as proxies are configured.
+    /// The fraction of its capacity that a backend has at its start, as proxies are configured.
     #[serde(rename = "start")]
     pub initial_capacity: f64,
-    /// The time after which it has all of it, as proxies are configured.
+    /// Time in seconds after which a backend has its full capacity, as proxies are configured.
     #[serde(rename = "span_s")]
     pub duration_s: f64,
-    /// Sent more than this multiple of its capacity ...
+    /// A backend crashes when it is sent more than this multiple of its capacity for `overload_window_s`.
     #[serde(rename = "multiple")]
     pub overload_multiple: f64,
-    /// ... for this time, it crashes.
+    /// Length in seconds of the window in which too much work makes a backend crash.
     #[serde(rename = "fall_s")]
     pub overload_window_s: f64,
 }
 
 impl SlowStartRule {
-    /// The time after which a backend has all of its capacity, as proxies are configured.
+    /// The time after which a backend has its full capacity, as proxies are configured.
     pub fn duration(&self) -> Millis {
         self.duration_s * MS_PER_S
     }
@@ -186,25 +187,25 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MachineClassSpec {
-    /// Its name.
+    /// Name of the machine class.
     pub name: String,
-    /// Its fraction of the backends.
+    /// Fraction of the backends that have this machine class.
     pub share: f64,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Speed of a core.
+    /// Speed of a core, relative to a standard core.
     pub speed: Range,
-    /// Requests that it processes at once.
+    /// Number of requests that the machine processes at once.
     pub slots: Range,
-    /// Requests that wait beyond those; more are rejected.
+    /// Number of requests that may wait for a slot; further ones are rejected.
     pub queue: Range,
-    /// How efficiency falls with concurrency.
+    /// Loss of efficiency with concurrency.
     #[serde(rename = "thrash")]
     pub contention: ContentionSpec,
-    /// Its true slow start.
+    /// The true slow start of the machine, which may differ from the settings of the proxies.
     #[serde(rename = "cold")]
     pub slow_start: SlowStartSpec,
-    /// The fraction of its requests that fail.
+    /// The fraction of the machine's requests that fail.
     pub error_rate: Range,
 }
 
@@ -212,21 +213,21 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the request class.
     pub name: String,
-    /// Its fraction of the requests.
+    /// Fraction of the requests that have this class.
     pub share: f64,
-    /// Mean work on a standard core.
+    /// Mean work of a request, in ms on a standard core.
     pub work_ms: Range,
     /// Coefficient of variation of the work.
     #[serde(rename = "cv")]
     pub work_cv: Range,
-    /// A response within this time earns the weight.
+    /// Latency objective in ms; a response within this time earns the weight.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: f64,
-    /// How long a client waits over all its attempts.
+    /// Time in ms that a client waits over all its attempts.
     pub deadline_ms: f64,
-    /// What a response in time is worth, relative to other classes.
+    /// Weight that a response in time earns, relative to other classes.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
     /// Whether a request may be executed more than once.
@@ -237,13 +238,14 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 pub enum RequestIdempotency {
-    /// Any number of times.
+    /// The request may be executed any number of times.
     #[serde(rename = "safe")]
     Idempotent,
-    /// Never.
+    /// The request must not be executed more than once.
     #[serde(rename = "unsafe")]
     NotIdempotent,
-    /// With an idempotency key: within the cell of the first backend tried, for a while.
+    /// The request has an idempotency key and may be executed again for a limited time, within the cell of the backend
+    /// of the first attempt.
     #[serde(rename = "keyed")]
     WithKey,
 }
@@ -252,27 +254,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantSpec {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its fraction of the traffic.
+    /// Fraction of the traffic that this tenant sends.
     pub share: f64,
-    /// Its quota, as a multiple of its usual traffic.
+    /// Quota of the tenant, as a multiple of its usual traffic.
     #[serde(rename = "allowance")]
     pub quota: Range,
 }
 
-/// What is charged.
+/// Prices of resources that the score is charged for.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PriceSpec {
-    /// An attempt that crosses zones.
+    /// Price of an attempt that crosses zones.
     pub cross_zone: f64,
-    /// A new connection.
+    /// Price of a new connection.
     pub handshake: f64,
-    /// A datagram of 256 bytes to one receiver.
+    /// Price of a datagram of 256 bytes to one receiver.
     #[serde(rename = "peer")]
     pub gossip: f64,
-    /// Wasted work, relative to the work offered.
+    /// Price of wasted work, relative to the work offered.
     #[serde(rename = "waste")]
     pub wasted_work: f64,
 }
--- a/crates/simulator/src/scenario/parameters.rs
+++ b/crates/simulator/src/scenario/parameters.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(from = "(Range, Range)")]
 pub struct KeyPopularity {
-    /// How many there are.
+    /// Number of distinct keys.
     pub distinct: Range,
     /// The exponent of Zipf's law for their popularity.
     pub exponent: Range,
@@ -26,9 +26,9 @@
 pub struct KeyCacheSpec {
     /// The fraction of the work that a cached key saves.
     pub saving: Range,
-    /// For how long a key is cached.
+    /// Time in seconds for which a key is cached.
     pub retention_s: Range,
-    /// How many keys are cached.
+    /// The most keys that are cached.
     pub capacity: Range,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(from = "(Range, f64)")]
 pub struct HandshakeSpec {
-    /// Work of the backend.
+    /// Work of the backend for the handshake, in ms on a standard core.
     pub work_ms: Range,
     /// Round trips until the connection is established.
     pub round_trips: f64,
@@ -54,13 +54,13 @@
     }
 }
 
-/// How the efficiency of a machine falls with concurrency.
+/// Loss of a machine's efficiency with concurrency.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(from = "(Range, Range)")]
 pub struct ContentionSpec {
     /// Efficiency lost for each request in process beyond the threshold.
     pub loss_per_request: Range,
-    /// Requests in process that cost none.
+    /// Number of requests in process up to which no efficiency is lost.
     pub threshold: Range,
 }
 
@@ -74,9 +74,9 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(from = "(Range, Range)")]
 pub struct SlowStartSpec {
-    /// The fraction of its capacity that it has at once.
+    /// The fraction of its capacity that the machine has at its start.
     pub initial_capacity: Range,
-    /// The time until it has all of it.
+    /// Time in seconds until the machine has its full capacity.
     pub duration_s: Range,
 }
 
--- a/crates/simulator/src/scenario/validation.rs
+++ b/crates/simulator/src/scenario/validation.rs
@@ -3,9 +3,9 @@
 use super::{InvalidScenario, Scenario};
 use crate::random::Range;
 
-/// The longest run, in seconds: a day.
+/// Longest duration of a run, in seconds: one day.
 const MAX_DURATION_S: f64 = 86_400.0;
-/// The most proxies or backends of a fleet.
+/// Largest number of proxies, and of backends, of a fleet.
 const MAX_FLEET: usize = 2000;
 
 impl Scenario {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The ranges that must not be negative.
+    /// The ranges that have to be finite, in order and not negative.
     fn ranges(&self) -> Vec<Range> {
         let mut ranges = Vec::new();
         for fault in &self.faults {
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -1,9 +1,9 @@
-//! How close the proxies come, all together, to overloading a backend in slow start.
+//! Measures how close all proxies together come to overloading a backend in slow start.
 //!
-//! The operators' rule: a backend in slow start crashes when it gets more than N + 2√N + 2 requests of mean work within
-//! the window that the settings name, N being what the settings allow: the multiple, times its present capacity, times
-//! that window. The proxies are at fault if over two thirds of these came from ones that had been notified of the
-//! start.
+//! The operators' rule: a backend in slow start crashes when it gets more than N + 2√N + 2 requests of mean work
+//! within the overload window of the settings. N is the load that the settings allow: the overload multiple, times the
+//! backend's present capacity, times the window. The proxies are at fault if more than two thirds of these requests
+//! came from proxies that had been notified of the backend's start.
 
 use std::collections::VecDeque;
 
@@ -15,20 +15,20 @@
 use crate::scenario::SlowStartRule;
 use crate::workload::Workload;
 
-/// The fraction of an overload beyond which the notified proxies are at fault.
+/// Fraction of the requests of an overload; if notified proxies sent more than this, the proxies are at fault.
 const FAULT_FRACTION: f64 = 2.0 / 3.0;
 
-/// What one count came to over all windows.
+/// Summary over all windows of the ratio of received to allowed requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct MaxRatio {
-    /// The most requests in a window over what was allowed in it.
+    /// Highest ratio of the requests in a window to the requests allowed in it.
     pub ratio: f64,
-    /// Windows with more than allowed.
+    /// Number of windows with more than the allowed requests.
     pub over: usize,
 }
 
 impl MaxRatio {
-    /// Adds a window; returns whether it has more than allowed.
+    /// Adds a window; returns whether it has more than the allowed requests.
     fn record(&mut self, ratio: f64) -> bool {
         let is_over = ratio > 1.0;
         self.ratio = self.ratio.max(ratio);
@@ -37,53 +37,55 @@
     }
 }
 
-/// One count against the capacity by the settings and against the true one.
+/// Ratios of received to allowed requests, by the capacity of the settings and by the true capacity.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LoadRatios {
-    /// By the least capacity by the settings.
+    /// Ratio by the lowest capacity that the settings assume.
     #[serde(rename = "settings")]
     pub by_settings: MaxRatio,
-    /// By the true capacity.
+    /// Ratio by the true capacity.
     #[serde(rename = "truth")]
     pub by_true_capacity: MaxRatio,
 }
 
-/// The measure of a run. A window ends at each request that reaches a backend in slow start.
+/// Measurements of a run. A window ends at each request that reaches a backend in slow start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct SlowStartReport {
-    /// Starts of backends that got a request during slow start.
+    /// Number of starts of backends that got a request during slow start.
     pub starts: usize,
-    /// Windows.
+    /// Number of windows.
     pub windows: usize,
-    /// Requests from all proxies.
+    /// Ratios for the requests from all proxies.
     #[serde(rename = "all")]
     pub from_all: LoadRatios,
-    /// Those from proxies that had been notified of the start.
+    /// Ratios for the requests from proxies that had been notified of the start.
     #[serde(rename = "told")]
     pub from_notified: LoadRatios,
-    /// Backends overloaded by the capacity of the settings for which the notified proxies were at fault.
+    /// Number of overloads, by the capacity of the settings, for which the notified proxies were at fault; at most one
+    /// for each start of a backend.
     #[serde(rename = "blamed")]
     pub proxies_at_fault: usize,
 }
 
 /// A request that reached a backend in slow start.
-struct Sent {
+struct CountedRequest {
     at: Millis,
-    /// In requests of mean work.
+    /// Work of the request, in requests of mean work.
     requests: f64,
+    /// Whether the sending proxy had been notified of the backend's start.
     sender_was_notified: bool,
 }
 
-/// What reached one backend within the last window.
+/// The requests that reached one backend within the last window.
 #[derive(Default)]
 struct RecentRequests {
     started_at: Millis,
     proxies_at_fault: bool,
-    sent: VecDeque<Sent>,
+    sent: VecDeque<CountedRequest>,
 }
 
 impl RecentRequests {
-    fn record(&mut self, sent: Sent, window: Millis) {
+    fn record(&mut self, sent: CountedRequest, window: Millis) {
         let now = sent.at;
         self.sent.push_back(sent);
         while self.sent.front().is_some_and(|sent| sent.at <= now - window) {
@@ -100,7 +102,7 @@
     }
 }
 
-/// Observes all backends of a run.
+/// Measures the load of all backends in slow start during a run.
 #[derive(Default)]
 pub struct SlowStartMonitor {
     backends: IndexedVec<BackendIndex, RecentRequests>,
@@ -110,18 +112,18 @@
 /// A request that reaches a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct ReceivedRequest {
-    /// When.
+    /// Time at which the request reaches the backend.
     pub at: Millis,
-    /// Which backend.
+    /// The backend.
     pub backend: BackendIndex,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassIndex,
-    /// Whether its proxy had been notified of the backend's start.
+    /// Whether the sending proxy had been notified of the backend's start.
     pub sender_was_notified: bool,
 }
 
 impl SlowStartMonitor {
-    /// A request reaches a backend that is up.
+    /// Records a request that reaches a backend that is up; ignores it if the backend's slow start is over.
     pub fn record(&mut self, workload: &Workload, backend: &Backend, request: ReceivedRequest) {
         let rule = &workload.scenario.slow_start;
         let age = request.at - backend.started_at;
@@ -132,7 +134,8 @@
         let mean_work = workload.mean_work();
         let window = rule.overload_window();
         let requests = workload.mean_work_by_class[request.class] / mean_work;
-        let sent = Sent { at: request.at, requests, sender_was_notified: request.sender_was_notified };
+        let sent =
+            CountedRequest { at: request.at, requests, sender_was_notified: request.sender_was_notified };
         let recent = Self::recent(&mut self.backends, &mut self.report, request.backend, backend);
         recent.record(sent, window);
         let all = recent.total();
@@ -151,13 +154,13 @@
             report.proxies_at_fault += 1;
         }
         if backend.is_warming_up(request.at) {
-            let allowed_truly = allowed_requests(rule, backend.capacity(request.at), mean_work);
-            report.from_all.by_true_capacity.record(all / allowed_truly);
-            report.from_notified.by_true_capacity.record(notified / allowed_truly);
+            let allowed_by_true_capacity = allowed_requests(rule, backend.capacity(request.at), mean_work);
+            report.from_all.by_true_capacity.record(all / allowed_by_true_capacity);
+            report.from_notified.by_true_capacity.record(notified / allowed_by_true_capacity);
         }
     }
 
-    /// The recent requests of a backend since its last start.
+    /// The recent requests of a backend; they are cleared, and a start is counted, after the backend has started again.
     fn recent<'a>(
         backends: &'a mut IndexedVec<BackendIndex, RecentRequests>, report: &mut SlowStartReport,
         index: BackendIndex, backend: &Backend,
@@ -173,7 +176,7 @@
         recent
     }
 
-    /// What was observed so far.
+    /// The measurements so far.
     pub fn report(&self) -> SlowStartReport {
         self.report
     }
--- a/crates/simulator/src/version.rs
+++ b/crates/simulator/src/version.rs
@@ -1,4 +1,4 @@
-//! Versions of the decisions that can be run and compared.
+//! Versions of the decision code that can be run and compared.
 
 use std::path::PathBuf;
 
@@ -13,19 +13,19 @@
 use crate::simulation::simulate_with;
 use crate::workload::Workload;
 
-/// Whose decisions are run.
+/// A version of the decision code.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Version {
     /// The core of this build.
     Core,
-    /// A baseline.
+    /// A baseline policy.
     Baseline(BaselineKind),
-    /// Another build, by its adapter for the operators' simulator.
+    /// Another build, run through its adapter for the operators' simulator, at this path.
     Adapter(PathBuf),
 }
 
 impl Version {
-    /// Its name in results.
+    /// The name of the version in results.
     pub fn name(&self) -> String {
         match self {
             Version::Core => "core".into(),
@@ -35,10 +35,10 @@
     }
 }
 
-/// Runs a workload by the decisions of a version. The same workload and version give the same result.
+/// Runs a workload with the decisions of a version. The same workload and version give the same result.
 ///
 /// # Errors
-/// If an adapter can't be started.
+/// Returns an error if an adapter can't be started.
 pub fn simulate(workload: &Workload, version: &Version) -> Result<RunResult, AdapterError> {
     let name = version.name();
     let result = match version {
--- a/crates/simulator/tests/command_line.rs
+++ b/crates/simulator/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line: what it prints and how it exits.
+//! Tests of the command line: printed output and exit codes.
 
 use std::path::Path;
 use std::process::{Command, Output};
--- a/crates/simulator/tests/drains_under_discovery_faults.rs
+++ b/crates/simulator/tests/drains_under_discovery_faults.rs
@@ -1,5 +1,5 @@
-//! Small workloads on which discovery fails while backends drain: the core sends nothing that the rule on drains forbids,
-//! and the checker reports offenders on the same workload.
+//! Small workloads on which discovery fails while backends drain. The core must send nothing that the rule on drains
+//! forbids, and the checker must report policies that violate the rule on the same workload.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,17 +13,17 @@
 use leadrelay_simulator::settings::settings;
 use leadrelay_simulator::{FleetView, Policy, Rule, RunResult, Scenario, Workload, simulate_with};
 
-/// Proxies, and how many workloads are run with so many.
+/// Numbers of proxies, each with the number of workloads to run.
 const FLEETS: [(usize, u64); 3] = [(5, 4), (31, 3), (300, 1)];
 const SECONDS: f64 = 20.0;
 /// Calls a second that an overloaded discovery answers for each proxy of the fleet.
-const OVERLOADED: f64 = 0.25;
-/// And one that answers in time.
-const QUICK: f64 = 20.0;
+const OVERLOADED_CALLS_PER_S: f64 = 0.25;
+/// Calls a second that a discovery that answers in time can answer for each proxy of the fleet.
+const QUICK_CALLS_PER_S: f64 = 20.0;
 
-/// How lists reach the proxies.
+/// The way in which lists reach the proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Lists {
+enum ListDelivery {
     OnRequest,
     Pushed,
 }
@@ -44,13 +44,13 @@
     fault(FaultKind::DrainBackends, second, duration_s, 0.25)
 }
 
-/// All proxies crash and recover after so many seconds.
+/// All proxies crash and recover after `downtime_s`.
 fn restart_proxies(second: f64, downtime_s: f64) -> FaultSpec {
     FaultSpec { magnitude: Range::Fixed(downtime_s), ..fault(FaultKind::KillProxies, second, 0.0, 1.0) }
 }
 
 /// Twelve backends and few requests for each proxy, whose clients do not retry.
-fn scenario(proxies: usize, lists: Lists, calls_per_s: f64, faults: Vec<FaultSpec>) -> Scenario {
+fn scenario(proxies: usize, lists: ListDelivery, calls_per_s: f64, faults: Vec<FaultSpec>) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/headend.toml");
     let mut scenario = Scenario::read(&file).expect("a valid scenario");
     scenario.proxies = proxies;
@@ -63,16 +63,16 @@
         class.work_ms = Range::Fixed(20.0);
     }
     scenario.clients.max_retries = 0;
-    // Gossip is not involved, and costs the most time at full size.
+    // The rule on drains does not depend on gossip, which takes most of the time of a run at full size.
     scenario.network.gossip_loss = 1.0;
     scenario.discovery.propagation_delay_s = Range::Fixed(0.1);
     scenario.discovery.calls_per_s = Range::Fixed(calls_per_s * proxies as f64);
-    scenario.discovery.pushed = lists == Lists::Pushed;
+    scenario.discovery.pushed = lists == ListDelivery::Pushed;
     scenario.faults = faults;
     scenario
 }
 
-/// Takes every backend that was ever on its list for one that accepts requests.
+/// A core that treats every backend that was ever on its list as one that accepts requests.
 struct IgnoresDrains {
     core: Balancer,
     known: BTreeMap<EndpointId, Endpoint>,
@@ -122,26 +122,26 @@
     result.violations.iter().filter(|violation| violation.rule == Rule::NoSendAfterDrain).count()
 }
 
-/// The fraction of all attempts of clients that was rejected for want of a list.
+/// The fraction of all attempts of clients that was rejected because the proxy might have had no current list.
 fn rejected_without_list(result: &RunResult) -> f64 {
     result.counters.rejected_without_list as f64 / result.counters.client_attempts as f64
 }
 
-/// What a workload is to show beside that the core keeps the rules.
+/// Expectations of a workload, beside that the core keeps the rules.
 #[derive(Clone, Copy)]
 struct Expected {
-    /// The most that may be rejected for want of a list, as a fraction of all attempts of clients.
+    /// Largest fraction of all attempts of clients that may be rejected without a current list.
     max_rejected: f64,
-    /// A core with no bound on the age of its list violates the rule.
+    /// Whether a core with no bound on the age of its list violates the rule.
     unbounded_violates: bool,
 }
 
-/// A bound on rejections alone.
+/// Expects only a bound on rejections.
 fn max_rejected(max_rejected: f64) -> Expected {
     Expected { max_rejected, unbounded_violates: false }
 }
 
-/// Runs the workloads of a scenario; each has to show the offender as well.
+/// Runs the workloads of a scenario. On each of them the checker has to report the policy that ignores drains.
 fn check_scenario(name: &str, proxies: usize, runs: u64, expected: Expected, scenario: &Scenario) {
     let mut ignoring_violates = 0u64;
     let mut unbounded_violates = 0u64;
@@ -160,11 +160,14 @@
             unbounded_violates += u64::from(sends_after_drain(&run_unbounded(&workload)) > 0);
         }
     }
-    assert_eq!(ignoring_violates, runs, "{name}, {proxies} proxies: the checker reports who ignores drains");
+    assert_eq!(
+        ignoring_violates, runs,
+        "{name}, {proxies} proxies: the checker reports the policy that ignores drains"
+    );
     if expected.unbounded_violates {
         assert_eq!(
             unbounded_violates, runs,
-            "{name}, {proxies} proxies: the checker reports who trusts an old list"
+            "{name}, {proxies} proxies: the checker reports the core without a bound on the age of its list"
         );
     }
 }
@@ -176,10 +179,10 @@
 }
 
 #[test]
-fn without_discovery_fault_nothing_is_rejected_for_want_of_a_list() {
-    for lists in [Lists::OnRequest, Lists::Pushed] {
+fn nothing_is_rejected_without_list_when_discovery_has_no_fault() {
+    for lists in [ListDelivery::OnRequest, ListDelivery::Pushed] {
         check_all_fleets(&format!("no fault, {lists:?}"), max_rejected(0.0), |proxies| {
-            scenario(proxies, lists, QUICK, vec![drain(6.0, 3.0)])
+            scenario(proxies, lists, QUICK_CALLS_PER_S, vec![drain(6.0, 3.0)])
         });
     }
 }
@@ -188,13 +191,17 @@
 fn no_send_after_drain_when_all_watches_are_reset_and_discovery_is_overloaded() {
     check_all_fleets("overloaded", max_rejected(0.05), |proxies| {
         let faults = vec![fault(FaultKind::BreakWatches, 8.0, 0.0, 1.0), drain(8.1, 1.0)];
-        scenario(proxies, Lists::OnRequest, OVERLOADED, faults)
+        scenario(proxies, ListDelivery::OnRequest, OVERLOADED_CALLS_PER_S, faults)
     });
 }
 
-/// How lists reach the proxies, how fast discovery is, and what may be rejected for want of a list.
-const LIST_DELIVERIES: [(Lists, f64, f64); 3] =
-    [(Lists::OnRequest, QUICK, 0.0), (Lists::OnRequest, OVERLOADED, 0.05), (Lists::Pushed, QUICK, 0.0)];
+/// The way in which lists reach the proxies, the calls a second that discovery answers for each proxy, and the largest
+/// fraction of attempts that may be rejected without a current list.
+const LIST_DELIVERIES: [(ListDelivery, f64, f64); 3] = [
+    (ListDelivery::OnRequest, QUICK_CALLS_PER_S, 0.0),
+    (ListDelivery::OnRequest, OVERLOADED_CALLS_PER_S, 0.05),
+    (ListDelivery::Pushed, QUICK_CALLS_PER_S, 0.0),
+];
 
 #[test]
 fn no_send_after_drain_when_watches_stall_just_before() {
@@ -236,9 +243,10 @@
 
 #[test]
 fn no_send_after_drain_during_and_after_a_discovery_outage() {
-    for lists in [Lists::OnRequest, Lists::Pushed] {
+    for lists in [ListDelivery::OnRequest, ListDelivery::Pushed] {
         for outage in [OutageMode::Fails, OutageMode::Refuses] {
-            let calls_per_s = if lists == Lists::OnRequest { OVERLOADED } else { QUICK };
+            let calls_per_s =
+                if lists == ListDelivery::OnRequest { OVERLOADED_CALLS_PER_S } else { QUICK_CALLS_PER_S };
             check_all_fleets(&format!("down, {lists:?}, {outage:?}"), max_rejected(0.6), |proxies| {
                 let faults = vec![fault(FaultKind::DiscoveryDown, 6.0, 8.0, 1.0), drain(5.0, 11.0)];
                 let mut scenario = scenario(proxies, lists, calls_per_s, faults);
--- a/crates/simulator/tests/reconnect.rs
+++ b/crates/simulator/tests/reconnect.rs
@@ -1,4 +1,4 @@
-//! A fleet whose watches all break at once, before a discovery that answers few calls.
+//! Reconnection storms: all watches of a fleet break at once, and discovery answers few calls a second.
 
 use leadrelay_simulator::reconnect::{ReconnectStorm, simulate_storm};
 
--- a/crates/simulator/tests/simulation.rs
+++ b/crates/simulator/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Small workloads, run from start to end.
+//! Tests that run small workloads from start to end.
 
 use std::path::{Path, PathBuf};
 
@@ -22,7 +22,7 @@
     simulate(workload, &version).expect("no adapter to start")
 }
 
-/// A workload small enough for a test, with this scenario's faults.
+/// A workload with the faults of a scenario, but few proxies and backends and a short duration.
 fn small_workload(name: &str, seed: u64) -> Workload {
     let mut scenario = scenario(name);
     scenario.proxies = scenario.proxies.min(8);
@@ -87,21 +87,21 @@
 }
 
 /// Changes the actions that a baseline takes on an event.
-type Offense = fn(&Event, &mut Vec<Action>);
+type ActionEdit = fn(&Event, &mut Vec<Action>);
 
-/// Decides at random, and violates a rule.
-struct Offender {
+/// Selects backends at random and violates a rule by changing the actions.
+struct ViolatingPolicy {
     baseline: Baseline,
-    offense: Offense,
+    edit_actions: ActionEdit,
 }
 
-impl Policy for Offender {
+impl Policy for ViolatingPolicy {
     fn handle(&mut self, now: f64, event: Event, fleet: FleetView<'_>, actions: &mut Vec<Action>) {
         let before = actions.len();
         self.baseline.handle(now, event.clone(), fleet, actions);
-        let mut own_actions = actions.split_off(before);
-        (self.offense)(&event, &mut own_actions);
-        actions.extend(own_actions);
+        let mut new_actions = actions.split_off(before);
+        (self.edit_actions)(&event, &mut new_actions);
+        actions.extend(new_actions);
     }
 }
 
@@ -166,7 +166,7 @@
 
 #[test]
 fn each_violation_is_reported() {
-    let offenses: [(Rule, Offense, &str); 8] = [
+    let cases: [(Rule, ActionEdit, &str); 8] = [
         (Rule::OneAttemptInFlight, send_twice, "headend.toml"),
         (Rule::OneFinalAnswer, answer_twice, "headend.toml"),
         (Rule::AnswerBeforeTimeout, never_send, "headend.toml"),
@@ -176,9 +176,9 @@
         (Rule::NoSendAfterDrain, flood_few_backends, "join-mass.toml"),
         (Rule::NoSlowStartOverload, flood_few_backends, "join-mass.toml"),
     ];
-    for (rule, offense, scenario) in offenses {
+    for (rule, edit_actions, scenario) in cases {
         let policy = move |_, seed| -> Box<dyn Policy> {
-            Box::new(Offender { baseline: Baseline::new(BaselineKind::Random, seed), offense })
+            Box::new(ViolatingPolicy { baseline: Baseline::new(BaselineKind::Random, seed), edit_actions })
         };
         let result = simulate_with(&small_workload(scenario, 1), rule.name(), &policy);
         let violated: Vec<Rule> = result.violations.iter().map(|violation| violation.rule).collect();
