--- a/crates/simulator/src/commands/reconnect.rs
+++ b/crates/simulator/src/commands/reconnect.rs
@@ -103,8 +103,8 @@
     ]
 }
 
-/// The mean of a time over all storms, or "never" if a storm was not over within the simulated time and so has no such
-/// time.
+/// The mean of a time over all storms, or "never" if that time is missing for a storm, which was not over within the
+/// simulated time.
 fn mean_time(results: &[StormResult], time: impl Fn(&StormResult) -> Option<f64>) -> String {
     let times: Option<Vec<f64>> = results.iter().map(time).collect();
     seconds(times.map(|times| times.iter().sum::<f64>() / results.len() as f64))
--- a/crates/simulator/src/drain_rule.rs
+++ b/crates/simulator/src/drain_rule.rs
@@ -27,8 +27,8 @@
 const TOLERANCE: Millis = 50.0;
 /// Longest time between the moment from which a change counts as notified and the first byte of an attempt.
 const MAX_SEND_DELAY: Millis = GRACE + TOLERANCE;
-/// Time after a change, or after a stall of the proxy's watch, after which a change counts as notified although discovery
-/// has not written it to the proxy.
+/// Time after a change, or after a stall of the proxy's watch, after which a change counts as notified although
+/// discovery has not written it to the proxy.
 const NOTIFIED_AFTER_CHANGE: Millis = 6000.0;
 /// Time after a move of discovery after which a change counts as notified although discovery has not written it to the
 /// proxy.
--- a/crates/simulator/src/paired_difference.rs
+++ b/crates/simulator/src/paired_difference.rs
@@ -9,7 +9,7 @@
 
 /// Number of resamples of the bootstrap.
 const RESAMPLES: usize = 4000;
-/// Fraction of the resampled medians beyond each end of the interval, which so contains 95% of them.
+/// Fraction of the resampled medians outside of the interval at each end; the interval contains the other 95%.
 const TAIL_FRACTION: f64 = 0.025;
 
 /// One figure of two versions on the same workload.
--- a/crates/simulator/src/reconnect.rs
+++ b/crates/simulator/src/reconnect.rs
@@ -56,7 +56,7 @@
     pub calls: usize,
     /// Number of calls that discovery refused.
     pub refused: usize,
-    /// Number of calls that their proxy gave up, which discovery served to no effect.
+    /// Number of calls that their proxy gave up and discovery still served.
     pub given_up: usize,
     /// Most calls of all proxies within one second.
     #[serde(rename = "most_calls_per_s")]
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -145,7 +145,7 @@
     /// Behaviour of calls during an outage.
     #[serde(default)]
     pub outage: OutageMode,
-    /// The fraction of the calls with a known version that get the complete list nevertheless.
+    /// The fraction of the calls with a known version that get the complete list in place of the changes since it.
     #[serde(default, rename = "whole_part")]
     pub full_list_fraction: f64,
     /// Whether complete lists leave out backends that are draining.
