--- a/crates/core/src/balancer/arrivals.rs
+++ b/crates/core/src/balancer/arrivals.rs
@@ -37,8 +37,8 @@
         self.enqueue(arrival.id, false);
     }
 
-    /// How long the client still waits. A doubtful announcement is reduced to the longest of the recent announcements
-    /// of its class and tenant, if that is shorter.
+    /// How long the client still waits. If the announced timeout is doubtful and exceeds the longest of the recent
+    /// announcements of its class and tenant, the excess is subtracted. With too few recent ones, nothing is.
     fn credible_timeout(&mut self, now: Millis, arrival: &NewRequest) -> Millis {
         if !self.compares_announced_timeouts(arrival.class) {
             return arrival.timeout;
--- a/crates/core/src/balancer/endpoint_updates.rs
+++ b/crates/core/src/balancer/endpoint_updates.rs
@@ -85,7 +85,7 @@
         entry.slow_start.refill(now, factor, started_at, &share, &self.settings.limits);
     }
 
-    /// Recomputes how many requests an endpoint may hold, and how many of these slots this proxy owns.
+    /// Recomputes the slots of an endpoint (the requests that it may hold), and how many of them this proxy owns.
     pub(super) fn update_slots(&mut self, endpoint: EndpointIndex) {
         let shares_all_endpoints = self.shares_all_endpoints();
         let sharing = self.sharing();
@@ -111,7 +111,7 @@
         self.update_eligibility(endpoint, now);
     }
 
-    /// Recomputes which requests an endpoint may be sent, and files it among the speed tiers accordingly.
+    /// Recomputes which requests an endpoint may be sent, and places it in the speed tiers accordingly.
     pub(super) fn update_eligibility(&mut self, endpoint: EndpointIndex, now: Millis) {
         let entry = &self.endpoints[endpoint];
         let is_usable = self.outliers.is_usable(entry, now);
--- a/crates/core/src/balancer/housekeeping.rs
+++ b/crates/core/src/balancer/housekeeping.rs
@@ -36,8 +36,8 @@
         self.expire_reports(now);
     }
 
-    /// Reviews all endpoints: updates slots, slow-start budgets, speeds, ended ejections, and how many endpoints look
-    /// unhealthy.
+    /// Reviews all endpoints: updates their slots, slow-start budgets, speeds and outlier statistics, and makes those
+    /// usable again whose ejection has ended.
     fn review_endpoints(&mut self, now: Millis) {
         self.latency.normalize(&mut self.endpoints);
         self.latency.update_mean();
--- a/crates/core/src/balancer/mod.rs
+++ b/crates/core/src/balancer/mod.rs
@@ -41,7 +41,7 @@
 /// Makes the decisions of one proxy. Pass each event to [`Balancer::handle`] and carry out the actions that it appends.
 pub struct Balancer {
     settings: Settings,
-    /// At least one class on offer is always idempotent.
+    /// Whether the requests of at least one class on offer are always idempotent.
     has_idempotent_class: bool,
     rng: fastrand::Rng,
     schedule: Schedule,
--- a/crates/core/src/balancer/peers.rs
+++ b/crates/core/src/balancer/peers.rs
@@ -51,7 +51,8 @@
         self.unheard_load.update(&self.endpoints, &view);
     }
 
-    /// Reports this proxy's load to the other proxies, as often as the gossip budget allows.
+    /// Reports this proxy's load to the other proxies as often as the byte budget of gossip allows, and without regard
+    /// to the budget if the last report is older than the longest interval between two reports.
     pub(super) fn publish_gossip(&mut self, now: Millis, out: &mut Vec<Action>) {
         let attempts = self.requests.running().len() + self.abandoned.len();
         let draining = self.overrides.draining;
--- a/crates/core/src/balancer/selection.rs
+++ b/crates/core/src/balancer/selection.rs
@@ -17,7 +17,7 @@
 /// Largest number of open endpoints of a speed tier that are examined, from a random position on, before the search
 /// continues with the next tier.
 const MAX_PROBES: usize = 8;
-/// A request does not wait for faster endpoints on which this proxy owns fewer slots than this.
+/// A request does not wait for faster endpoints on which this proxy owns fewer slots than this in total.
 const MIN_FASTER_SLOTS: f64 = 0.01;
 /// A request becomes urgent at this multiple of its expected latency, plus a margin, before its latency objective.
 const URGENT_FACTOR: f64 = 1.5;
@@ -55,7 +55,7 @@
         self.throughput += slots * speed;
     }
 
-    /// The fraction of these slots that a class may use.
+    /// The part of these slots that a class may use, which is `fraction` of them.
     fn scaled(&self, fraction: f64) -> FasterSlots {
         FasterSlots { count: self.count * fraction, throughput: self.throughput * fraction }
     }
@@ -278,7 +278,7 @@
         position < probability * self.queues.waiting() as f64
     }
 
-    /// The number of waiting requests with a higher priority.
+    /// The number of waiting requests with a higher priority than this one.
     fn waiting_ahead(&self, id: RequestId) -> usize {
         let priorities = Priorities { settings: self.settings, latency: self.latency };
         let rank = priorities.rank(&self.requests[id], self.now);
--- a/crates/core/src/decision.rs
+++ b/crates/core/src/decision.rs
@@ -1,6 +1,6 @@
 //! Decisions of the two-speed threshold, and their counts.
 
-/// What the two-speed threshold decides for a waiting request when an endpoint is available to it.
+/// A decision of the two-speed threshold on a waiting request to which an endpoint is available.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ThresholdDecision {
     /// The request is sent at once: there is no faster endpoint to wait for, or its affinity endpoint is available.
--- a/crates/core/src/estimators/affinity.rs
+++ b/crates/core/src/estimators/affinity.rs
@@ -14,9 +14,9 @@
 /// other endpoints to that at the affinity endpoint.
 pub(crate) struct AffinitySpeedup {
     enabled: bool,
-    /// Mean latency over its expected value at endpoints other than the affinity endpoint.
+    /// Mean ratio of a latency to its expected value, at endpoints other than the affinity endpoint.
     at_other_endpoints: WeightedMean,
-    /// Mean latency over its expected value at the affinity endpoint.
+    /// Mean ratio of a latency to its expected value, at the affinity endpoint.
     at_affinity_endpoint: WeightedMean,
     speedup: f64,
 }
@@ -36,8 +36,8 @@
         self.speedup
     }
 
-    /// Records the latency of a response. Without affinity, a latency of `relative_latency` (of the endpoint) times
-    /// `class_latency` is expected.
+    /// Records the latency of a response. The latency expected without affinity is `relative_latency` (of the endpoint)
+    /// times `class_latency`, divided by `slow_start_factor`.
     pub fn record(
         &mut self, latency: Millis, relative_latency: f64, class_latency: Millis, slow_start_factor: f64,
         at_affinity_endpoint: bool,
--- a/crates/core/src/estimators/client_timeouts.rs
+++ b/crates/core/src/estimators/client_timeouts.rs
@@ -62,7 +62,7 @@
             .flatten()
     }
 
-    /// Removes all announcements, because the numbers of classes and tenants may have changed.
+    /// Removes all announcements, because the ids of classes and tenants may have changed.
     pub fn clear(&mut self) {
         self.current.clear();
         self.previous.clear();
--- a/crates/core/src/limits/capacity_sharing.rs
+++ b/crates/core/src/limits/capacity_sharing.rs
@@ -10,7 +10,8 @@
 use crate::settings::{Settings, WeightMeaning};
 use crate::slow_start::REQUESTS_PER_CORE;
 
-/// Upper bound of the slots of an endpoint, which limits the work per endpoint whatever weights the list contains.
+/// Upper bound of the slots of an endpoint for which an owner is computed. It limits the computing time per endpoint,
+/// whatever weights the list contains.
 const MAX_SLOTS: u32 = 1024;
 /// Additional requests that an endpoint may hold at a staleness factor of 1, where no proxy can see whether it is idle.
 const STALE_EXTRA_REQUESTS: f64 = 1.5;
@@ -52,7 +53,8 @@
     }
 
     /// The number of requests that all proxies together can send to an endpoint in a review interval: those that it
-    /// finishes (Little's law) plus its shortfall. The supply is unlimited until the machine class has been measured.
+    /// finishes (Little's law) plus its shortfall, the requests that it lacks to its capacity. The supply is unlimited
+    /// until the machine class has been measured.
     pub fn supply(&self, entry: &EndpointEntry, concurrency: f64) -> f64 {
         let class = self.latency.machine_class(entry.machine_class);
         if !class.is_measured() {
@@ -119,9 +121,9 @@
         SlotAllocation { capacity, own_slots }
     }
 
-    /// The number of an endpoint's slots that are this proxy's own. Each slot has one owner among the proxies in the
-    /// endpoint's zone, or among all proxies if its zone has none, determined by a hash that is the same at all
-    /// proxies.
+    /// The number of an endpoint's slots that are this proxy's own. Each slot has one owner, determined by a hash that
+    /// is the same at all proxies. The owner is one of the candidates (see `is_candidate`), or one of all proxies if
+    /// there is no candidate.
     fn owned_slots(&self, entry: &EndpointEntry, slots: u32) -> u32 {
         let has_candidate = (0..self.settings.proxies).any(|proxy| self.is_candidate(entry, proxy));
         let owner = |slot: u32| {
--- a/crates/core/src/machine_class.rs
+++ b/crates/core/src/machine_class.rs
@@ -6,8 +6,8 @@
 
 /// Number of responses over which the latency of a request class or a machine class is averaged.
 pub(crate) const CLASS_SAMPLES: f64 = 100.0;
-/// Number of samples above which the estimate of an endpoint counts more than that of its machine class. Estimates of a
-/// machine class are used from this number of samples on.
+/// Number of samples above which the estimate of an endpoint counts more than that of its machine class. From this
+/// number of samples on, an estimate for a machine class counts as measured.
 pub(crate) const MIN_SAMPLES: f64 = 6.0;
 /// The lowest fraction of its slots that an overloaded machine class keeps.
 const MIN_CONCURRENCY_FACTOR: f64 = 0.3;
@@ -16,7 +16,8 @@
 const INITIAL_CONCURRENCY_FACTOR: f64 = 0.5;
 /// Bounds of the change of the concurrency factor in one review.
 const CONCURRENCY_STEP: std::ops::RangeInclusive<f64> = 0.95..=1.02;
-/// The ratio of latency to its baseline above which a machine class counts as overloaded.
+/// The ratio of the latency to its acceptable value, which is the baseline or more, above which a machine class counts
+/// as overloaded.
 const OVERLOAD_RATIO: f64 = 1.6;
 /// Number of responses before the baseline of a machine class is measured, since the minimum of few samples is too low.
 const BASELINE_SAMPLES: f64 = 60.0;
--- a/crates/core/src/outlier_detector.rs
+++ b/crates/core/src/outlier_detector.rs
@@ -11,11 +11,12 @@
 const MEDIAN_FACTOR: f64 = 3.0;
 /// Upper bound of the failure rate limit.
 const MAX_LIMIT: f64 = 0.85;
-/// Ejections are ignored while more than this fraction of the endpoints is ejected. The same fraction applies to
-/// ejections for a single request class.
+/// Ejections are ignored while more than this fraction of the endpoints is ejected, not counting those that reject
+/// requests for lack of capacity. The same fraction applies to ejections for a single request class; there
+/// all are counted.
 pub(crate) const PANIC_THRESHOLD: f64 = 0.9;
-/// Ejections are also ignored while more than this fraction of the endpoints is ejected and less than this fraction of
-/// attempts succeeds.
+/// Ejections are also ignored while more than this fraction of the endpoints is ejected, not counting those that
+/// reject requests for lack of capacity, and less than this fraction of attempts succeeds.
 const PANIC_THRESHOLD_UNDER_FAILURES: f64 = 0.5;
 /// Number of attempts over which the success rate is averaged.
 const SUCCESS_SAMPLES: f64 = 100.0;
@@ -74,8 +75,8 @@
     }
 
     /// The failure rate above which an endpoint is ejected. It rises with failures that affect all endpoints: otherwise
-    /// one endpoint after another would be ejected for them until none is left. Two failures in a row don't mark an
-    /// outlier either where some attempts fail at every endpoint.
+    /// one endpoint after another would be ejected for them until none is left. Where some attempts fail at every
+    /// endpoint, two failures in a row are no sign of an outlier.
     fn limit(&self, median_failure_rate: f64) -> f64 {
         let common_rate = MEDIAN_FACTOR * (1.0 - self.success_rate);
         (MAX_FAILURE_RATE + common_rate).max(MEDIAN_FACTOR * median_failure_rate).min(MAX_LIMIT)
--- a/crates/core/src/outlier_record.rs
+++ b/crates/core/src/outlier_record.rs
@@ -4,10 +4,11 @@
 
 /// The weight of a failure in the running failure rate. With this weight two failures in a row lead to an ejection.
 const FAILURE_GAIN: f64 = 0.3;
-/// Duration of the first ejection; it doubles with each failure on probation.
+/// Duration of the first ejection, before jitter. It doubles with each ejection that follows before the endpoint has
+/// passed its probation.
 const BASE_EJECTION_TIME: Millis = 250.0;
-/// The longest duration of an ejection, and so the longest time after which an endpoint that has recovered is used
-/// again.
+/// Upper bound to which the duration of an ejection doubles, before jitter and the factor for single request classes.
+/// An endpoint that was ejected for all classes and has recovered is used again after about this time at the latest.
 pub(crate) const MAX_EJECTION_TIME: Millis = 4000.0;
 /// The factor by which an ejection for a single request class lasts longer, as each trial after it may fail a request.
 const CLASS_EJECTION_FACTOR: f64 = 4.0;
@@ -90,9 +91,10 @@
     by_class: Vec<OutlierState>,
     /// Whether the last failure was a rejection for lack of capacity.
     rejecting: bool,
-    /// Time of the last response, or of a later send to the endpoint while it was idle.
+    /// Time of the last response that served a request, or of a later send to the endpoint while it was idle.
     last_response_at: Millis,
-    /// Number of attempts since the last response that counted as unanswered while they were still in flight.
+    /// Number of attempts that have counted as unanswered, while still in flight, since the last response that served a
+    /// request.
     unanswered: u32,
 }
 
@@ -138,7 +140,7 @@
         self.by_class[class].failure_rate
     }
 
-    /// Time of the last response, or of a later send to the endpoint while it was idle.
+    /// Time of the last response that served a request, or of a later send to the endpoint while it was idle.
     pub fn last_response_at(&self) -> Millis {
         self.last_response_at
     }
@@ -182,8 +184,8 @@
     }
 
     /// Whether an attempt that has been in flight for too long shows that the endpoint hangs and has to be ejected.
-    /// This takes an earlier unanswered attempt and no response since. A single lost response is no proof, as the
-    /// endpoint may have only one slot.
+    /// This takes an earlier unanswered attempt, and no request that was served since. A single lost response is no
+    /// proof, as the endpoint may have only one slot.
     pub fn is_hanging(&self, now: Millis, timeout: Millis) -> bool {
         self.unanswered > 0 && !self.is_ejected(now) && now - self.last_response_at > timeout
     }
--- a/crates/core/src/slow_start.rs
+++ b/crates/core/src/slow_start.rs
@@ -7,7 +7,7 @@
 pub(crate) const REQUESTS_PER_CORE: f64 = 1.1;
 /// The fraction of the overload limit of an endpoint in slow start that all proxies together may send to it.
 const SAFETY_FRACTION: f64 = 0.5;
-/// The fraction of the work that fits into an overload window that a single request may take.
+/// A single request may take this fraction of the work that an endpoint is allowed in an overload window.
 const MAX_REQUEST_FRACTION: f64 = 0.25;
 /// The largest number of sends that may be saved up, as the duration in which they are earned.
 const MAX_SAVED: Millis = 300.0;
@@ -112,7 +112,8 @@
 
     /// Whether a saved send has to be dropped. If each of many proxies has saved up one send, a burst that uses all of
     /// them at once would be too much for the endpoint. So once the sends that all proxies have earned since the start
-    /// could overload the endpoint, no proxy keeps a send for longer than the overload window.
+    /// could overload the endpoint, a proxy that earns less than one send per overload window keeps no send for longer
+    /// than that window.
     fn is_saved_too_long(
         &self, now: Millis, factor: f64, started_at: Option<Millis>, rate: f64, limits: &Limits,
     ) -> bool {
@@ -124,7 +125,8 @@
         could_overload && is_rare && now - self.covers_send_since > limits.overload_window
     }
 
-    /// Whether a request is too heavy for an endpoint in slow start.
+    /// Whether a request is too heavy for an endpoint for which slow start has been started. The limit rises with the
+    /// slow-start factor and still applies after slow start.
     pub fn is_too_heavy(&self, expected_latency: Millis, factor: f64, limits: &Limits) -> bool {
         let max_work = MAX_REQUEST_FRACTION * limits.overload_multiple * factor * limits.overload_window;
         self.active && expected_latency > max_work
