--- a/crates/core/src/actions.rs
+++ b/crates/core/src/actions.rs
@@ -71,7 +71,7 @@
         /// The time after which the attempt must not start, because a repeat would no longer be deduplicated.
         start_by: Option<Millis>,
     },
-    /// Answers a request with a rejection, after which the client can safely retry.
+    /// Sends a rejection as the final response to a request. The client can safely retry after it.
     Reject {
         /// The request.
         request: RequestId,
@@ -80,7 +80,7 @@
         /// The reason for the rejection.
         reason: RejectionReason,
     },
-    /// Answers a request with a failure. The request may have been executed.
+    /// Sends a failure as the final response to a request. The request may have been executed.
     Fail(RequestId),
     /// Sets a timer, which is returned as [`Event::Timer`](crate::Event::Timer) when it expires.
     Timer {
--- a/crates/core/src/discovery/calls.rs
+++ b/crates/core/src/discovery/calls.rs
@@ -11,14 +11,14 @@
 /// Longest time for establishing a connection. Connections are accepted without queueing for the service, so one that
 /// takes longer will not be established at all.
 const CONNECT_TIMEOUT: Millis = 1000.0;
-/// Longest time from the start of a call to the first line of its response. A call receives nothing while it waits in
-/// the queue of the service. With a shorter timeout, an overloaded service would spend its time on calls that have
+/// Longest time from the start of a call to the list or update that it returns. A call receives nothing while it waits
+/// in the queue of the service. With a shorter timeout, an overloaded service would spend its time on calls that have
 /// already been cancelled, and would answer none of them in time.
 const CALL_TIMEOUT: Millis = 3000.0;
 /// Longest silence of a watch. Heartbeats arrive every 2 s, so a watch that is silent for longer is broken.
 const SILENCE_TIMEOUT: Millis = 3000.0;
 /// The endpoint list stops being valid this long before the latest permitted time of a send. Discovery writes a change
-/// to one watch after another, so a heartbeat on one watch does not prove that no other watch has received a change.
+/// to one watch after another, so a heartbeat may arrive on one watch after a change has been sent on another.
 /// The margin also covers the transit times of the heartbeat and of the request.
 const STALE_MARGIN: Millis = 400.0;
 /// Number of doublings after which the backoff no longer grows.
--- a/crates/core/src/discovery/subscription.rs
+++ b/crates/core/src/discovery/subscription.rs
@@ -21,11 +21,11 @@
 /// The treatment of an update received from discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum UpdateDisposition {
-    /// The update is newer than the current list and is applied.
+    /// The update has to be applied: it is a change or a complete list that can follow the current list.
     Apply,
     /// The update confirms that the current list is still the latest.
     Unchanged,
-    /// The update belongs to a cancelled call, or is older than the current list.
+    /// The update belongs to a call that is not open, or is older than the current list.
     Ignore,
     /// The update does not follow the version of the current list, so the call has to be cancelled.
     Reject,
--- a/crates/core/src/endpoint_status.rs
+++ b/crates/core/src/endpoint_status.rs
@@ -1,6 +1,6 @@
 //! The status of listed endpoints for operators and metrics.
 
-/// The status of a listed endpoint, which determines whether it gets requests.
+/// The status of a listed endpoint, which tells whether it gets requests, and if not, why.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
     /// The endpoint gets requests.
--- a/crates/core/src/endpoints/entry.rs
+++ b/crates/core/src/endpoints/entry.rs
@@ -48,7 +48,8 @@
     pub pending: u32,
     /// Whether a request with affinity to the endpoint may be sent to it now.
     pub available: bool,
-    /// The probability with which a waiting request is admitted to the endpoint in a review interval.
+    /// The fraction of the waiting requests that is admitted to the endpoint in each review interval, highest priority
+    /// first.
     pub admission_probability: f64,
 }
 
@@ -59,7 +60,8 @@
         self.queue.push_back(id);
     }
 
-    /// Decrements the number of waiting requests. The id of the request stays in the queue until none waits.
+    /// Decrements the number of waiting requests. The queue may still contain the id of the request, and is cleared
+    /// once none of its requests waits.
     pub fn stop_waiting(&mut self) {
         self.pending -= 1;
         if self.pending == 0 {
--- a/crates/core/src/events.rs
+++ b/crates/core/src/events.rs
@@ -97,7 +97,7 @@
     },
     /// Listed endpoints are found to have started later than their entries state.
     StartTimes(Vec<(EndpointId, Millis)>),
-    /// A request has arrived. It gets exactly one final answer.
+    /// A request has arrived. It gets exactly one final response.
     Request {
         /// The number of the request.
         id: RequestId,
@@ -114,7 +114,7 @@
         /// The expected processing time of the request on a standard core, if known.
         expected_cost: Option<Millis>,
     },
-    /// A streamed response has started, which is the final answer to the client.
+    /// A streamed response has started, which is the final response to the client.
     Started {
         /// The request.
         request: RequestId,
@@ -154,7 +154,7 @@
     Reconfigure(Box<Reconfiguration>),
     /// During an upgrade, another process starts (`true`) or stops (`false`) using this proxy's share of the capacity.
     OverlappingProcess(bool),
-    /// The client has closed its connection; the request needs no answer any more.
+    /// The client has closed its connection; the request needs no response any more.
     ClientClosed(RequestId),
     /// A timer set with [`Action::Timer`](crate::Action::Timer) has expired.
     Timer(u64),
--- a/crates/core/src/gossip/message.rs
+++ b/crates/core/src/gossip/message.rs
@@ -3,7 +3,7 @@
 //! | bytes | content |
 //! | --- | --- |
 //! | 0 | version |
-//! | 1 | low byte of the sender's zone; 255 if it has no zone, or as the low byte of a zone that needs the last byte |
+//! | 1 | low byte of the sender's zone; 255 without a last byte means that the sender has no zone |
 //! | 2 | number of outliers, with the highest bit set if the sender is draining |
 //! | 3.. | names of outliers, then the name of the endpoint of each attempt in flight; two bytes each |
 //! | last | high byte of the zone, present if the number of bytes after the header is odd |
@@ -23,7 +23,8 @@
 pub(super) const NAME_LEN: usize = 2;
 /// Maximum number of outliers that a message reports.
 const MAX_OUTLIERS: usize = 30;
-/// The zone byte of a sender that has no zone. It is also the low byte of a zone if the message has a last byte.
+/// The zone byte of a sender that has no zone, or one above 65,535. In a message with a last byte, the same value is
+/// the low byte of a zone.
 const NO_SHORT_ZONE: u8 = u8::MAX;
 
 /// A decoded message of another proxy. Endpoints that this proxy does not know are left out.
--- a/crates/core/src/invariant.rs
+++ b/crates/core/src/invariant.rs
@@ -22,7 +22,7 @@
     SlowStart,
     /// The timeout sent to a backend is no longer than the time for which the client still waits.
     DeadlinePropagated,
-    /// A final answer is sent before the request's deadline.
+    /// A final response is sent before the request's deadline.
     AnsweredInTime,
     /// A client connection is closed only after the request that was read from it has been answered.
     AnsweredBeforeClose,
--- a/crates/core/src/requests/queues.rs
+++ b/crates/core/src/requests/queues.rs
@@ -17,8 +17,8 @@
 
 /// Waiting requests by class and by whether they are beyond their tenant's quota, oldest first.
 ///
-/// A request leaves its queue when it is sent. A request that no longer waits for another reason stays in its queue and
-/// is skipped there.
+/// A request leaves its queue when it is sent. If it stops waiting for another reason, its id stays in the queue and is
+/// skipped and removed later.
 pub(crate) struct RequestQueues {
     queues: Vec<VecDeque<RequestId>>,
     /// Number of waiting requests in all queues.
@@ -58,7 +58,8 @@
         (0..self.queues.len()).map(QueueIndex)
     }
 
-    /// Adds a request that waits from now on, at the front of its queue if `in_front`.
+    /// Adds a request that waits from now on; `in_front` puts a request that has waited before at the front of its
+    /// queue.
     pub fn push(&mut self, id: RequestId, class: usize, over_quota: bool, in_front: bool) {
         self.waiting += 1;
         let queue = &mut self.queues[class * QUEUES_PER_CLASS + usize::from(over_quota)];
--- a/crates/core/src/requests/request.rs
+++ b/crates/core/src/requests/request.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// Where and until when a request can be repeated that has an idempotency key and may have run.
+/// The endpoints and the time limit for repeating a request that has an idempotency key and may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct RepeatWindow {
     /// The endpoint of the first attempt that may have run.
--- a/crates/core/src/settings/mod.rs
+++ b/crates/core/src/settings/mod.rs
@@ -27,9 +27,9 @@
 pub enum DeduplicationScope {
     /// Every endpoint.
     All,
-    /// The endpoints in the zone of the endpoint that got the first attempt.
+    /// The endpoints in the zone of the endpoint that got the first attempt that may have been executed.
     Zone,
-    /// The endpoints in the cell of the endpoint that got the first attempt.
+    /// The endpoints in the cell of the endpoint that got the first attempt that may have been executed.
     Cell,
 }
 
--- a/crates/core/tests/requests.rs
+++ b/crates/core/tests/requests.rs
@@ -13,8 +13,8 @@
 
 #[test]
 fn request_gets_one_final_response() {
-    // Guards against a second response: a request that was served out of turn stayed in its queue and was responded to
-    // again.
+    // Guards against a second response: a request that was served out of turn stayed in its queue and got
+    // another response.
     let mut harness = Harness::new(settings(1), vec![]);
     harness.handle(request(1, 1, 3000.0));
     let out = harness.advance(4000.0);
@@ -23,8 +23,8 @@
 
 #[test]
 fn running_request_is_given_up_just_before_its_objective() {
-    // Guards against giving requests up too early: up to 30 ms before the objective, some would still have been served
-    // in time.
+    // Guards against giving requests up too early: some were given up as much as 30 ms before the objective, although
+    // they would still have been served in time.
     let mut harness = Harness::new(settings(1), vec![endpoint(1)]);
     assert_eq!(burst(&mut harness, 1, 1).len(), 1);
     assert_eq!(rejections(&harness.advance(1190.0)), 0, "its objective is 1200 ms");
