--- a/crates/proxy/src/discovery/call.rs
+++ b/crates/proxy/src/discovery/call.rs
@@ -1,5 +1,5 @@
 //! One call to discovery: a watch of the endpoint list, from opening its connection to the end of the call. A call
-//! applies no time-outs; the balancer's subscription cancels calls that take too long.
+//! applies no timeouts; the balancer's subscription decides when to cancel it, for example because it takes too long.
 
 use std::io;
 use std::net::SocketAddr;
@@ -66,7 +66,7 @@
     /// Discovery responded with a status other than 200.
     #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// Discovery ended the response, but not inside an object.
+    /// Discovery ended the response between two objects, or before the first one.
     #[error("the watch was closed by discovery")]
     Closed,
     /// The response ended inside an object.
--- a/crates/proxy/src/driver/attempt_report.rs
+++ b/crates/proxy/src/driver/attempt_report.rs
@@ -19,7 +19,8 @@
     pub attempt: u32,
     pub endpoint: EndpointId,
     pub message: Rc<UpstreamRequest>,
-    /// When the last byte of the request was sent, or the start of the attempt until that is known.
+    /// The start of the attempt; for a body that is forwarded while it is received, the time at which its last byte was
+    /// read, once that has happened.
     pub sent_at: Rc<Cell<Instant>>,
     /// Whether the end of the attempt has been reported.
     pub reported: bool,
--- a/crates/proxy/src/driver/attempts.rs
+++ b/crates/proxy/src/driver/attempts.rs
@@ -14,7 +14,7 @@
 use crate::inbox::{AttemptEnd, FinalResponse};
 use crate::upstream::{AttemptLimits, RequestState, UpstreamEndpoint, UpstreamPool};
 
-/// Maximum time-out of an attempt, in milliseconds, so that adding it to an instant can't overflow.
+/// Maximum timeout of an attempt, in milliseconds, so that adding it to an instant can't overflow.
 const MAX_TIMEOUT: Millis = 1e9;
 
 impl Driver {
@@ -57,7 +57,8 @@
         spawn_attempt(self.parts.upstreams.clone(), upstream.clone(), open, limits, report);
     }
 
-    /// Handles the end of an attempt. If the attempt was served, its response is the final response to the request.
+    /// Handles the end of an attempt. If the attempt was served, its response is the final response to the request,
+    /// unless the request is already closed.
     pub(super) fn attempt_ended(&mut self, end: AttemptEnd) {
         let AttemptEnd { request, attempt, latency, outcome, response } = end;
         let Some(open) = self.open_requests.get_mut(&request) else { return };
@@ -123,7 +124,7 @@
     });
 }
 
-/// The instant by which an attempt must have ended: the earlier of its own time-out and its request's deadline.
+/// The instant by which an attempt must have ended: the earlier of its own timeout and its request's deadline.
 fn attempt_deadline(open: &OpenRequest, timeout: Option<Millis>, now: Instant) -> Instant {
     match timeout {
         Some(timeout) => open.deadline.min(now + bounded_duration(timeout)),
--- a/crates/proxy/src/driver/clock.rs
+++ b/crates/proxy/src/driver/clock.rs
@@ -16,7 +16,8 @@
 /// Latest time, in milliseconds, that can be converted to an instant; later ones are clamped to it.
 const MAX_TIME: Millis = 1e12;
 
-/// The balancer's clock: monotonic milliseconds since the driver started. All conversions of Unix times are done here.
+/// The balancer's clock: monotonic milliseconds since the driver started. It also converts the Unix times of endpoint
+/// starts; other conversions of Unix times use its `wall_clock_offset`.
 ///
 /// The wall clock may be stepped while the process runs, so its offset from this clock is recorded after each step. It
 /// is not known which of these offsets applied when another machine read its clock.
@@ -82,11 +83,12 @@
     }
 
     /// Converts the Unix time at which an endpoint started, as given by discovery, for an endpoint that was listed at
-    /// `listed_at`. Returns `None` if it started long ago.
+    /// `listed_at`. Returns `None`, which stands for long ago, if the Unix time is not a positive finite number.
     ///
     /// After a step of the wall clock, a Unix time may stand for several times of this clock. The latest possible one
     /// is returned: an endpoint wrongly considered to be warming up only gets fewer requests for a while, but one
-    /// wrongly considered warm is overloaded.
+    /// wrongly considered warm is overloaded. Times after `listed_at` by more than `MAX_CLOCK_SKEW` are impossible; if
+    /// all are, `listed_at` is returned.
     pub fn start_time_from_unix(&self, unix_ms: f64, listed_at: Millis) -> Option<Millis> {
         if !unix_ms.is_finite() || unix_ms <= 0.0 {
             return None;
--- a/crates/proxy/src/driver/endpoints.rs
+++ b/crates/proxy/src/driver/endpoints.rs
@@ -56,7 +56,8 @@
         entries
     }
 
-    /// Drops the upstreams of endpoints that are not in `listed`. Attempts in flight hold their own references to them.
+    /// Closes and drops the upstreams of endpoints that are not in `listed`. Attempts in flight hold their own
+    /// references to them.
     fn retain(&mut self, listed: &FxHashSet<EndpointId>) {
         self.upstreams.retain(|id, upstream| {
             let is_listed = listed.contains(id);
@@ -167,7 +168,7 @@
     }
 }
 
-/// The ids of the latest endpoints to be listed, at most `MAX_REMEMBERED`. They may have left the list since.
+/// The ids of endpoints that are or were listed. Beyond `MAX_REMEMBERED` ids, the one added first is forgotten.
 #[derive(Default)]
 struct RememberedIds {
     ids: FxHashSet<EndpointId>,
--- a/crates/proxy/src/driver/open_requests.rs
+++ b/crates/proxy/src/driver/open_requests.rs
@@ -17,7 +17,7 @@
 use crate::open_ids::ReservedRequestId;
 use crate::upstream::{RequestState, UpstreamRequest, UpstreamResponse};
 
-/// The driver itself responds to a request that has no response yet this long before its deadline.
+/// If a request has no final response this long before its deadline, the driver itself responds to it.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(4);
 /// Maximum time for receiving a body that is forwarded while it is received.
 const MAX_UPLOAD_TIME: Duration = Duration::from_secs(600);
@@ -28,14 +28,17 @@
 pub struct OpenRequest {
     /// Sends the final response; `None` once the request is closed.
     pub(super) response_sender: Option<oneshot::Sender<FinalResponse>>,
-    /// The state of the request, shared with its attempts. Attempts may start and continue only while it is pending.
+    /// The state of the request, shared with its attempts. An attempt may start only while the request is pending, and
+    /// stops writing an incomplete request once the request is abandoned.
     pub(super) state: Rc<Cell<RequestState>>,
     pub(super) message: Rc<UpstreamRequest>,
-    /// When the client stops waiting.
+    /// When the client stops waiting, or the deadline of the shutdown if that is earlier. While an attempt reads a body
+    /// that is forwarded while it is received, `MAX_UPLOAD_TIME` takes the place of the client's timeout.
     pub(super) deadline: Instant,
     /// How long the client waits after the last byte of the request's body; `None` if the body has been received.
     timeout_after_upload: Option<Duration>,
-    /// When the last byte of the latest attempt's request was sent, or the start of that attempt until that is known.
+    /// The start of the latest attempt; for a body that is forwarded while it is received, the time at which its last
+    /// byte was read, once that has happened.
     pub(super) sent_at: Rc<Cell<Instant>>,
     /// The number of attempts that have been started.
     pub(super) attempts: u32,
@@ -144,8 +147,8 @@
         }
     }
 
-    /// Responds to a request at its deadline. A request that was attempted has failed, because it may have been
-    /// processed; any other is rejected.
+    /// Responds to a request at its deadline. If an attempt was made, the response is a failure, because the request
+    /// may have been processed; otherwise it is a rejection.
     fn respond_at_deadline(&mut self, id: RequestId) {
         let attempted = self.open_requests.get(&id).is_some_and(|open| open.attempts > 0);
         if let Some(response_sender) = self.close(id, RequestState::Abandoned) {
--- a/crates/proxy/src/driver/takeover.rs
+++ b/crates/proxy/src/driver/takeover.rs
@@ -27,8 +27,8 @@
         self.balancer.restore(learned.to_learned(&context));
     }
 
-    /// Checks whether the other process of this proxy still runs, and saves the state for a successor if this process
-    /// owns the handover file's learned state.
+    /// Checks whether the other process of this proxy still runs. Saves the state for a successor if this process
+    /// started last among those that serve.
     pub(super) fn maintain_handover_file(&mut self) {
         let Some(handover) = self.parts.handover.clone() else { return };
         handover.check_processes();
--- a/crates/proxy/src/inbox.rs
+++ b/crates/proxy/src/inbox.rs
@@ -56,8 +56,9 @@
     pub request: RequestId,
     /// The number of the attempt among those of the request, from 0.
     pub attempt: u32,
-    /// The time from sending the request's last byte to the start of the response, or to the end of the attempt if
-    /// there is no response.
+    /// The time from the start of the attempt to the start of the response, or to the end of the attempt if there is no
+    /// response. For a body that is forwarded while it is received, it counts from the body's last byte if that was
+    /// read.
     pub latency: Millis,
     pub outcome: Outcome,
     /// The response to pass on to the client, if there is one.
@@ -74,7 +75,7 @@
     pub expected_cost: Option<Millis>,
     /// When the client stops waiting, according to the timeout that it announced.
     pub deadline: Instant,
-    /// Whether the announced timeout is typical of other clients of the same class and tenant.
+    /// The timeout that the client announced, and whether it is typical of other clients of the same class and tenant.
     pub announcement: TimeoutAnnouncement,
     /// How long the client waits after the last byte of the request's body; `None` if the body has been received.
     pub timeout_after_upload: Option<Duration>,
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -29,7 +29,8 @@
 pub struct AttemptLimits {
     /// When the wait for the response ends.
     pub deadline: Instant,
-    /// When the attempt may no longer start; set if an earlier attempt of the request may have run.
+    /// The instant from which the attempt may no longer start: the end of the request's idempotency window. Set if an
+    /// earlier attempt of the request may have run.
     pub start_by: Option<Instant>,
 }
 
@@ -96,7 +97,7 @@
     }
 
     /// Sends the request on an idle connection or a new one. If an idle connection fails before anything was written
-    /// to it, the request is sent on another connection.
+    /// to it, and the request is still replayable, the request is sent on another connection.
     async fn send(&self) -> Result<SentRequest, NotSent> {
         loop {
             let mut connection = self.connect().await?;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// When the wait for a connection ends: at the deadline, or when the attempt may no longer start.
+    /// When the wait for a connection ends: at the deadline or at `start_by`, whichever is earlier.
     fn connect_deadline(&self) -> Instant {
         self.limits.start_by.map_or(self.limits.deadline, |start_by| start_by.min(self.limits.deadline))
     }
--- a/crates/proxy/src/upstream/attempt_request.rs
+++ b/crates/proxy/src/upstream/attempt_request.rs
@@ -36,8 +36,8 @@
 }
 
 impl AttemptRequest {
-    /// Prepares a request whose response must arrive by `deadline`. Returns `None` if an earlier attempt has taken the
-    /// streamed body.
+    /// Prepares a request for an attempt. The response must arrive by `deadline` if the body is buffered; the timeout
+    /// for a streamed body comes from its `Upload`. Returns `None` if an earlier attempt has taken the streamed body.
     pub(super) fn new(
         upstream_request: &UpstreamRequest, deadline: Instant, progress: &Rc<RequestProgress>,
     ) -> Option<Self> {
--- a/crates/proxy/src/upstream/availability.rs
+++ b/crates/proxy/src/upstream/availability.rs
@@ -5,9 +5,9 @@
 /// Whether an endpoint accepts new requests, according to discovery and the operators.
 #[derive(Default)]
 pub(super) struct Availability {
-    /// The endpoint is draining, removed or replaced.
+    /// Whether the endpoint is draining, removed or replaced.
     closed: Cell<bool>,
-    /// An operator has put the endpoint into maintenance.
+    /// Whether an operator has put the endpoint into maintenance.
     in_maintenance: Cell<bool>,
 }
 
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -74,8 +74,8 @@
         if !self.progress.may_write() {
             return Poll::Ready(Err(io::ErrorKind::PermissionDenied.into()));
         }
-        // Fail before writing if bytes or the end of the stream have arrived: such bytes can't be the response to this
-        // request, and such an end did not follow the request.
+        // Fail before the first byte is written if bytes or the end of the stream have already arrived: the bytes can't
+        // be the response to this request, and the backend did not close the connection because of this request.
         if !self.progress.has_started() && peek(&self.stream) != PeekResult::Nothing {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -66,7 +66,8 @@
 }
 
 /// Sends a request and reads its response. With `is_plain_http`, which means that the platform's protocol is not used,
-/// every status below 500 except 101 counts as served, and error responses are passed on unchanged.
+/// every status below 500 except 101 counts as served, and error responses that have been buffered completely are
+/// passed on unchanged.
 pub(super) async fn exchange(
     sender: &mut SendRequest<MessageBody>, request: Request<MessageBody>, progress: &RequestProgress,
     is_plain_http: bool,
--- a/crates/proxy/src/upstream/guard.rs
+++ b/crates/proxy/src/upstream/guard.rs
@@ -13,7 +13,7 @@
 use crate::denial::Denial;
 
 /// Longest tolerated pause of the process between reading the clock and writing. Deadlines and the validity of the
-/// endpoint list include this pause.
+/// endpoint list allow for this pause.
 const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
 
 /// The conditions under which the first byte of a request may be written. Each of them may have changed while the
@@ -27,7 +27,8 @@
     pub(super) state: Rc<Cell<RequestState>>,
     /// The request, which provides its id and the check of its client.
     pub(super) request: Rc<UpstreamRequest>,
-    /// When the attempt may no longer start; set if an earlier attempt of the request may have run.
+    /// The instant from which the attempt may no longer start: the end of the request's idempotency window. Set if an
+    /// earlier attempt of the request may have run.
     pub(super) start_by: Option<Instant>,
     /// The deadline propagated to the backend, if it is known before the first byte.
     pub(super) propagated_deadline: Option<Instant>,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -34,7 +34,7 @@
     /// The memory budgets for bodies, shared with the client side.
     pub memory: BodyMemory,
     /// Whether plain HTTP/1.1 is used instead of the platform's protocol. In plain HTTP every status below 500 except
-    /// 101 counts as served, and error responses are passed on unchanged.
+    /// 101 counts as served, and error responses that have been buffered completely are passed on unchanged.
     pub(super) is_plain_http: bool,
     metrics: Arc<Metrics>,
     connect_timeout: Cell<Duration>,
--- a/crates/proxy/src/upstream/request_progress.rs
+++ b/crates/proxy/src/upstream/request_progress.rs
@@ -103,7 +103,8 @@
         !self.has_started.get() && !self.was_denied.get()
     }
 
-    /// Whether the proxy stopped the request: a write was denied, or the client did not send its whole body.
+    /// Whether the request was stopped for a reason unrelated to the backend: a write was denied, or the client did not
+    /// send its whole body.
     pub(super) fn was_withdrawn(&self) -> bool {
         self.was_denied.get() || self.is_body_incomplete.get()
     }
--- a/crates/proxy/src/upstream/response_progress.rs
+++ b/crates/proxy/src/upstream/response_progress.rs
@@ -20,7 +20,7 @@
     last_partial_read_at: Cell<Option<Instant>>,
     /// When the first bytes of the most recent response head arrived.
     first_byte_at: Cell<Option<Instant>>,
-    /// Whether the request was not completely written at that time.
+    /// Whether the most recent response head started to arrive before the request was completely written.
     is_early: Cell<bool>,
     /// Notified when bytes of the response have been read.
     bytes_read: Notify,
--- a/crates/proxy/src/upstream/socket_budget.rs
+++ b/crates/proxy/src/upstream/socket_budget.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Counts one attempt as waiting for a socket until it is dropped.
+/// Counts one attempt as waiting for a socket until the `Waiter` is dropped.
 struct Waiter<'a>(&'a Cell<usize>);
 
 impl<'a> Waiter<'a> {
