--- a/crates/proxy/src/access_record.rs
+++ b/crates/proxy/src/access_record.rs
@@ -74,8 +74,9 @@
         *self.backend.borrow_mut() = Some(name);
     }
 
-    /// Logs the access event. Its times are in milliseconds: `waited_ms` from arrival to the first attempt,
-    /// `backend_ms` since the start of the latest attempt, and `total_ms` for the whole request.
+    /// Logs the access event. Its times are in milliseconds: `waited_ms` from arrival to the first attempt, or the
+    /// whole time if there was no attempt; `backend_ms` since the start of the latest attempt; and `total_ms` for the
+    /// whole request.
     pub fn log(&self, cause: Cause, total: Duration) {
         let until_first_attempt =
             self.first_attempt_at.get().map_or(total, |at| at.saturating_duration_since(self.arrived_at));
--- a/crates/proxy/src/admin.rs
+++ b/crates/proxy/src/admin.rs
@@ -53,7 +53,8 @@
 /// A command with the channel for its reply.
 pub struct CommandRequest {
     pub command: Command,
-    /// Receives true once the command is in effect, and false if it could not be applied.
+    /// Receives true once the command is in effect and recorded for a successor, and false if the backend is unknown
+    /// or the command could not be recorded.
     pub reply: oneshot::Sender<bool>,
 }
 
--- a/crates/proxy/src/classes.rs
+++ b/crates/proxy/src/classes.rs
@@ -69,7 +69,7 @@
     pub lease: ClassLease,
 }
 
-/// The entries of all classes, the names of the tenants and the dialect of requests.
+/// The entries of all classes, the names of the tenants and the protocol of the clients.
 pub struct Classes {
     entries: Vec<ClassEntry>,
     pub tenants: Vec<String>,
--- a/crates/proxy/src/error.rs
+++ b/crates/proxy/src/error.rs
@@ -11,7 +11,7 @@
 /// The error for which a proxy did not start or has ended.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The configuration is invalid.
+    /// The configuration can't be read or is invalid.
     #[error("{0}")]
     Config(#[from] Faults),
     /// The environment variable for the passed socket, or that socket, can't be used.
@@ -25,12 +25,12 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The driver ended before the proxy was stopped.
+    /// The driver, the proxy's thread or the preparation of the start ended unexpectedly.
     #[error("the driver has ended: {0}")]
     Driver(#[from] DriverEnd),
 }
 
-/// The way in which the driver, or the proxy's thread, ended.
+/// The way in which the driver, the proxy's thread or the preparation of the start ended.
 #[derive(Debug, thiserror::Error)]
 pub enum DriverEnd {
     /// The driver's task ended while the proxy ran, with this result.
--- a/crates/proxy/src/frontend/body.rs
+++ b/crates/proxy/src/frontend/body.rs
@@ -37,9 +37,10 @@
 }
 
 impl Frontend {
-    /// Receives a request's body, or its first part if the body is to be streamed, within the request's deadline. For a
-    /// streamed body, the client waits `response_timeout` after the body's last byte for the response, less the time
-    /// for which the request waited for its attempt to start.
+    /// Receives a request's body, or its first part if the body is to be streamed. A small body has to be complete by
+    /// the request's deadline; a body that is sent fast enough may take longer. For a streamed body, the client waits
+    /// `response_timeout` after the body's last byte for the response, less the time for which the request waited for
+    /// its attempt to start.
     pub(super) async fn receive_body(
         &self, body: Incoming, client: &Client, id: RequestId, response_timeout: Duration,
     ) -> Result<ReceivedBody<impl Future<Output = Result<(), BodyError>>>, BodyError> {
--- a/crates/proxy/src/frontend/client.rs
+++ b/crates/proxy/src/frontend/client.rs
@@ -20,7 +20,7 @@
 /// The stage of a connection. The variants are in the order in which connections are evicted.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Stage {
-    /// The connection is closing; input that still arrives is read and discarded.
+    /// The proxy closes the connection, and waits for a limited time until the client has closed its side.
     Lingering,
     /// The client has sent nothing yet.
     New,
@@ -68,7 +68,7 @@
     pub(super) write_watchdog: WriteWatchdog,
     /// Signals the connection's task to close the connection.
     close: Notify,
-    /// Why the connection is closed, once that is known.
+    /// The reason for which the connection is closed, once it is known.
     close_reason: Cell<Option<ClientCloseReason>>,
 }
 
--- a/crates/proxy/src/frontend/connection.rs
+++ b/crates/proxy/src/frontend/connection.rs
@@ -40,7 +40,7 @@
     ShutDownGracefully,
     /// Restart the close timeout because the current request has no response yet.
     ExtendCloseTimeout,
-    /// Discard input that the client may still be sending, then close.
+    /// Wait for a limited time until the client has closed its side, then close.
     Linger,
     /// Close without waiting for the client.
     Close,
--- a/crates/proxy/src/frontend/connection_table.rs
+++ b/crates/proxy/src/frontend/connection_table.rs
@@ -12,7 +12,8 @@
 
 /// Minimum time for which an idle connection stays open: clients may reuse a connection for 2 s.
 pub(super) const MIN_IDLE_TIME: Duration = Duration::from_millis(2050);
-/// Time that a connection must have been in its stage before it may be evicted.
+/// Time that a connection must have been in its stage before it may be evicted. Idle connections have to reach
+/// [`MIN_IDLE_TIME`] instead.
 pub(super) const MIN_STAGE_AGE: Duration = Duration::from_millis(50);
 
 /// The stages in which a connection may be evicted, in the order of eviction.
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Requests the close of all connections whose request has not arrived completely by its deadline.
+    /// Requests the close of all connections whose request head has not arrived completely by the request's deadline.
     pub(super) fn close_overdue(&self, now: Instant) {
         let evictable = self.evictable.borrow();
         for stage in [Stage::New, Stage::ReadingHead] {
--- a/crates/proxy/src/frontend/forward.rs
+++ b/crates/proxy/src/frontend/forward.rs
@@ -1,4 +1,4 @@
-//! Submits one request to the driver and waits for the final answer.
+//! Submits one request to the driver and waits for the final response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -49,8 +49,9 @@
 }
 
 impl ReadyRequest {
-    /// The timeout that the client announced, and whether it may hold for other clients too. It does not if the request
-    /// is a retry, or if its body is streamed, because how long the client will take to write that body is unknown.
+    /// The timeout that the client announced, and whether it is typical of other clients too. It is not if the request
+    /// is, or may be, a client's retry, or if the body is streamed, as the time that the client will take to write the
+    /// rest is unknown. It is doubtful if the client wrote the request slowly.
     fn announcement(&self) -> TimeoutAnnouncement {
         let write_time = self.arrived_at.saturating_duration_since(self.started_at);
         let timeout_ms = self.meta.timeout.as_secs_f64() * MILLIS_PER_SECOND;
@@ -96,7 +97,7 @@
         self.submit_and_respond(ready, upload, client).await
     }
 
-    /// Submits a request, waits for the final answer and turns it into the response.
+    /// Submits a request, waits for the driver's final response and converts it to the response to the client.
     async fn submit_and_respond(
         self: &Rc<Self>, ready: ReadyRequest, upload: Option<impl Future<Output = Result<(), BodyError>>>,
         client: &Rc<Client>,
@@ -195,11 +196,11 @@
     }
 }
 
-/// Waits for the final answer, and meanwhile receives the rest of a streamed body.
+/// Waits for the final response, and meanwhile receives the rest of a streamed body.
 async fn answer_while_uploading(
     answer: oneshot::Receiver<FinalResponse>, upload: Option<impl Future<Output = Result<(), BodyError>>>,
 ) -> Result<FinalResponse, BodyError> {
-    // The driver drops the sender without an answer only if the driver itself has failed.
+    // The driver drops the sender without a final response only if the driver itself has failed.
     let answer = async { answer.await.unwrap_or(FinalResponse::Failed) };
     let Some(upload) = upload else { return Ok(answer.await) };
     tokio::pin!(answer, upload);
--- a/crates/proxy/src/frontend/listener.rs
+++ b/crates/proxy/src/frontend/listener.rs
@@ -15,8 +15,9 @@
 
 /// Maximum length of the accept queue, in connections.
 const BACKLOG: u32 = 1024;
-/// Time for which new connections wait in the accept queue while no connection can be evicted. After that, connections
-/// without any request are evicted at any age, and if there are none, new connections are rejected.
+/// Time for which new connections wait in the accept queue while no connection can be evicted. After that, open
+/// connections that are lingering or have sent nothing yet are evicted at any age. If there are none, the connections
+/// in the accept queue are rejected.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(100);
 /// Delay after a failed accept, which keeps the accept loop from spinning, and longest wait for an evicted connection
 /// to close.
--- a/crates/proxy/src/frontend/mod.rs
+++ b/crates/proxy/src/frontend/mod.rs
@@ -12,10 +12,10 @@
 //! 4. `admission` checks the head, and for a chunked request the `raw_head` too. `body` receives the body, either
 //!    completely or up to the limit for buffered bodies.
 //! 5. `forward` submits the request to the driver, with its head changed by `forwarded_head`, and waits for the final
-//!    answer while the rest of a streamed body is received. `cancellation` notifies the driver if the client
+//!    response while the rest of a streamed body is received. `cancellation` notifies the driver if the client
 //!    disconnects first.
-//! 6. `response` turns the answer into the client's response. The request ends at that point, or with the last byte of
-//!    a streamed response.
+//! 6. `response` converts the final response to the HTTP response to the client. The request ends at that point, or
+//!    with the last byte of a streamed response.
 //!
 //! `linger` closes a connection whose client may still be sending. `shutdown` finishes the accepted requests before the
 //! process ends.
--- a/crates/proxy/src/frontend/received.rs
+++ b/crates/proxy/src/frontend/received.rs
@@ -16,8 +16,8 @@
     /// When the head was read completely, or the earliest time at which its connection may have entered the accept
     /// queue, if the head may have arrived there.
     pub(super) arrived_at: Instant,
-    /// The raw bytes of the head, if they were read separately from the previous request. Their start is missing if it
-    /// was read together with the previous request, and their end is missing if the head is too long.
+    /// The raw bytes of the head, if they can be distinguished from those of the previous request. Their start is
+    /// missing if it was read together with the previous request, and their end is missing if the head is too long.
     pub(super) raw_head: Option<Vec<u8>>,
 }
 
--- a/crates/proxy/src/frontend/response.rs
+++ b/crates/proxy/src/frontend/response.rs
@@ -19,8 +19,8 @@
 use crate::upstream::{MessageBody, UpstreamResponse};
 
 impl Frontend {
-    /// Turns the final answer into the response, and ends the request in the metrics: at once, or with the last byte of
-    /// a streamed response.
+    /// Converts the driver's final response to the response to the client, and ends the request in the metrics: at
+    /// once, or with the last byte of a streamed response.
     pub(super) fn final_response(
         self: &Rc<Self>, answer: FinalResponse, ticket: RequestTicket, client: &Rc<Client>,
     ) -> Response<MessageBody> {
@@ -75,8 +75,8 @@
         stream
     }
 
-    /// The response to a request that was not processed, so that a retry is harmless. `retry_after` is when the client
-    /// should retry.
+    /// The response to a request that was not processed, so that a retry is harmless. `retry_after` is the time in
+    /// milliseconds after which the client should retry.
     fn unavailable_response(&self, retry_after: Option<Millis>) -> Response<MessageBody> {
         let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "try again");
         if let Some(value) = retry_after.and_then(|retry_after| self.retry_after_header(retry_after)) {
@@ -85,7 +85,7 @@
         response
     }
 
-    /// The value of `Retry-After`. Only the platform dialect allows fractions of a second.
+    /// The value of `Retry-After`. Only the platform's protocol allows fractions of a second.
     fn retry_after_header(&self, retry_after: Millis) -> Option<HeaderValue> {
         let seconds = retry_after / 1000.0;
         let text = match self.classes.borrow().client_protocol {
--- a/crates/proxy/src/frontend/service.rs
+++ b/crates/proxy/src/frontend/service.rs
@@ -15,7 +15,7 @@
 use crate::config::ClientProtocol;
 use crate::upstream::MessageBody;
 
-/// The path of the readiness check in the platform dialect.
+/// The path of the readiness check in the platform's protocol.
 const PLATFORM_READINESS_PATH: &str = "/up";
 
 impl Frontend {
--- a/crates/proxy/src/frontend/shutdown.rs
+++ b/crates/proxy/src/frontend/shutdown.rs
@@ -19,13 +19,13 @@
 const EMPTY_QUEUE_TIME: Duration = Duration::from_millis(20);
 /// Further time for which connections that have sent nothing stay open after the last accept.
 const FIRST_BYTE_TIME: Duration = Duration::from_millis(200);
-/// Time after SIGTERM at which idle connections are closed if there is a successor. Until then they close with their
-/// next response.
+/// Time after SIGTERM at which connections without a request are closed if there is a successor. Until then they close
+/// with their next response.
 const HANDOVER_TIME: Duration = Duration::from_millis(450);
-/// Maximum of the longest deadline that counts for the time from SIGTERM to SIGKILL. SIGKILL comes no sooner after
+/// Upper limit on the longest deadline in the calculation of the time until SIGKILL. SIGKILL comes no sooner after
 /// SIGTERM than the longest deadline, limited to this value, plus [`KILL_DELAY_AFTER_DEADLINE`].
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
-/// Time that is added to the longest deadline: SIGKILL comes no sooner after SIGTERM than both together.
+/// Time that is added to the limited longest deadline to get the earliest time of SIGKILL after SIGTERM.
 const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// Time before the earliest SIGKILL at which all requests must have their response.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
--- a/crates/proxy/src/frontend/write_watchdog.rs
+++ b/crates/proxy/src/frontend/write_watchdog.rs
@@ -49,7 +49,7 @@
         self.last_write.get() + WRITE_TIMEOUT
     }
 
-    /// Whether nothing of a streamed response could be written for [`WRITE_TIMEOUT`].
+    /// Whether a response is being streamed and nothing of it has been written for [`WRITE_TIMEOUT`].
     pub(super) fn has_expired(&self) -> bool {
         self.streaming.get() && self.last_write.get().elapsed() >= WRITE_TIMEOUT
     }
--- a/crates/proxy/src/handover/file.rs
+++ b/crates/proxy/src/handover/file.rs
@@ -26,7 +26,7 @@
 /// The handover file, with the last state that was read from it or written to it.
 pub struct HandoverFile {
     path: PathBuf,
-    /// The state that was last read or written, used while the file is missing or can't be parsed.
+    /// The state that was last read or written, used while the file is missing, malformed or of another version.
     last_state: RefCell<Option<SharedState>>,
 }
 
@@ -69,8 +69,8 @@
         })
     }
 
-    /// The state in the file. While the file is missing or can't be parsed, this is the state that was last read or
-    /// written, or the default if there is none.
+    /// The state in the file. While the file is missing, malformed or of another version, this is the state that was
+    /// last read or written, or the default if there is none.
     pub fn read_or_last(&self) -> io::Result<SharedState> {
         let state = self.read()?.or_else(|| self.last_state.borrow().clone());
         Ok(state.unwrap_or_default())
@@ -83,7 +83,7 @@
         std::fs::rename(&temporary, &self.path)
     }
 
-    /// Sets the state that is used while the file is missing or can't be parsed.
+    /// Sets the state that is used while the file is missing, malformed or of another version.
     pub fn set_last_state(&self, state: SharedState) {
         self.last_state.replace(Some(state));
     }
--- a/crates/proxy/src/handover/pending.rs
+++ b/crates/proxy/src/handover/pending.rs
@@ -7,7 +7,8 @@
 
 use super::schema::SharedState;
 
-/// How long a change may wait to be written before its reply is `false`. Callers wait only a little longer than this.
+/// Longest time for which a change may wait to be written. After that, its reply is `false`. Callers wait only a little
+/// longer than this.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// An operator's change to the shared state, with the time by which it has to be written.
--- a/crates/proxy/src/handover/schema.rs
+++ b/crates/proxy/src/handover/schema.rs
@@ -187,8 +187,9 @@
         }
     }
 
-    /// Converts the returns from maintenance to the balancer's clock. The time since the file was written is not known
-    /// reliably and counts as zero, so the endpoints are considered slightly less warmed up than they are.
+    /// Converts the returns from maintenance to the balancer's clock, from their ages, or from their Unix times if an
+    /// older version wrote the file without ages. With ages, the time since the file was written is not known reliably
+    /// and counts as zero, so the endpoints are considered slightly less warmed up than they are.
     fn to_maintenance_returns(&self, context: &ConversionContext) -> Vec<MaintenanceReturn> {
         if self.maintenance_return_ages.is_empty() {
             let from_unix = |unix: f64| unix - context.wall_clock_offset;
--- a/crates/proxy/src/head.rs
+++ b/crates/proxy/src/head.rs
@@ -25,7 +25,7 @@
     pub tenant: Option<TenantId>,
     /// The key that is common to requests which should go to the same backend (session affinity).
     pub affinity_key: Option<AffinityKey>,
-    /// The processing time that the client expects for the request, in milliseconds.
+    /// The processing time that the client expects for the request on a standard core, in milliseconds.
     pub expected_cost: Option<Millis>,
     /// How long the client waits for the response; no longer than the deadline of the class.
     pub timeout: Duration,
--- a/crates/proxy/src/metrics/ticket.rs
+++ b/crates/proxy/src/metrics/ticket.rs
@@ -19,7 +19,7 @@
     class: Arc<ClassMetrics>,
     /// When the last byte of the request arrived.
     arrived_at: Instant,
-    /// The record for the access log; `None` if the request is not sampled.
+    /// The record for the access event; `None` if the request is not sampled.
     access_record: Option<Rc<AccessRecord>>,
     /// Whether the end of the request has been counted.
     has_ended: bool,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Sets the record for the access log, which is logged when the request ends.
+    /// Sets the record for the access event, which is logged when the request ends.
     pub fn set_access_record(&mut self, access_record: Option<Rc<AccessRecord>>) {
         self.access_record = access_record;
     }
--- a/crates/proxy/src/rejection.rs
+++ b/crates/proxy/src/rejection.rs
@@ -26,7 +26,7 @@
     /// A header is malformed, or present more than once.
     #[error("a header is malformed or stands twice")]
     InvalidHeader,
-    /// A numeric header is not a number, or negative.
+    /// A numeric header is not a finite number, or is negative.
     #[error("a header is no number")]
     InvalidNumber,
     /// The tenant is not configured.
@@ -35,10 +35,10 @@
     /// The method is CONNECT, or the request asks for an upgrade of the connection.
     #[error("no tunnels and no upgrades")]
     TunnelOrUpgrade,
-    /// The length of the body is not given, or is given more than once.
+    /// The request is chunked and also has a Content-Length, or its raw head can't prove that it has none.
     #[error("the length must be told, and once")]
     AmbiguousLength,
-    /// The body exceeds the maximum size.
+    /// The announced length of the body exceeds the maximum size.
     #[error("the body is too large")]
     BodyTooLarge,
     /// Another open request has the same id.
@@ -47,7 +47,7 @@
     /// The body did not arrive in time.
     #[error("the body came too slowly")]
     BodyTooSlow,
-    /// The body is malformed.
+    /// The body is malformed, or a body of unannounced length exceeds the maximum size.
     #[error("the body is malformed")]
     BodyMalformed,
 }
--- a/crates/proxy/src/server/reload.rs
+++ b/crates/proxy/src/server/reload.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Applies the settings, the options of connections, the rate of access events and the addresses of discovery or of
-    /// the fixed endpoint list. All other changes require a restart.
+    /// Applies the settings, the protocol of the clients, the options of connections, the rate of access events, and
+    /// the address of discovery or the fixed endpoint list. All other changes require a restart.
     fn reload(&mut self) -> Result<(), ReloadError> {
         let new = config::reread(&self.path, &self.running.origin)?;
         match (&new.source, &self.running.source) {
