--- a/crates/cli/src/ctl/client.rs
+++ b/crates/cli/src/ctl/client.rs
@@ -29,7 +29,7 @@
 /// If no complete response arrives within [`CALL_TIMEOUT`].
 pub async fn call(admin: SocketAddr, method: Method, path: &str) -> anyhow::Result<Response> {
     let result = tokio::time::timeout(CALL_TIMEOUT, exchange(admin, method, path)).await;
-    result.unwrap_or_else(|_| bail!("no answer within {} s", CALL_TIMEOUT.as_secs()))
+    result.unwrap_or_else(|_| bail!("no response within {} s", CALL_TIMEOUT.as_secs()))
 }
 
 async fn exchange(admin: SocketAddr, method: Method, path: &str) -> anyhow::Result<Response> {
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -34,7 +34,7 @@
     let targets: Targets = logging
         .filter
         .parse()
-        .with_context(|| format!("'{}' is no filter for log events", logging.filter))?;
+        .with_context(|| format!("'{}' is not a valid filter for log events", logging.filter))?;
     let builder =
         NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LINES).thread_name("log");
     let (writer, guard) = builder.finish(std::io::stderr());
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -41,9 +41,9 @@
             1,
             format!("operators on {taken}"),
         ),
-        (file("nowhere", ""), 2, "1:10: 'nowhere' is no address".into()),
+        (file("nowhere", ""), 2, "1:10: 'nowhere' is not a valid address".into()),
         (file("127.0.0.1:0", "lisen = 1\n"), 2, "unknown key 'lisen'".into()),
-        (file("127.0.0.1:0", "[logging]\nfilter = \"a=b=c\"\n"), 2, "no filter".into()),
+        (file("127.0.0.1:0", "[logging]\nfilter = \"a=b=c\"\n"), 2, "not a valid filter".into()),
         (
             file("127.0.0.1:0", "[[classes]]\nname = \"a\"\neffect = \"safe\"\n"),
             2,
--- a/crates/cli/tests/discovery.rs
+++ b/crates/cli/tests/discovery.rs
@@ -261,11 +261,11 @@
     let good = host("s-1", unused_address, "up", 0);
     let entries = |second_entry: &str| list(2, false, &[good.clone(), second_entry.to_owned()]);
     let cases = [
-        (entries(r#"{"host":3}"#), "entry 2: no 'host'"),
-        (entries("null"), "entry 2: no 'host'"),
+        (entries(r#"{"host":3}"#), "entry 2: 'host' is missing"),
+        (entries("null"), "entry 2: 'host' is missing"),
         (
             entries(r#"{"host":"s-odd","dial":"nowhere","health":"up"}"#),
-            "backend s-odd: no address in 'dial'",
+            "backend s-odd: 'dial' is missing or not an address",
         ),
         (entries(r#"{"host":"s-odd","dial":"127.0.0.1:9","health":"new"}"#), "backend s-odd: unknown health"),
         (entries(&host("s-1", unused_address, "draining", 0)), "backend s-1 is listed twice"),
--- a/crates/cli/tests/serve.rs
+++ b/crates/cli/tests/serve.rs
@@ -148,7 +148,7 @@
     let address = silent.local_addr().expect("an address").to_string();
     let output = run_leadrelay(&["ctl", "--admin", &address, "health"]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(text(&output.stderr).contains("no answer within"), "{}", text(&output.stderr));
+    assert!(text(&output.stderr).contains("no response within"), "{}", text(&output.stderr));
     drop(silent);
     let output = run_leadrelay(&["ctl", "--admin", &address, "health"]);
     assert_eq!(output.status.code(), Some(1));
--- a/crates/core/src/settings/json.rs
+++ b/crates/core/src/settings/json.rs
@@ -88,10 +88,10 @@
     #[error("class {0} has no name")]
     UnnamedClass(usize),
     /// Two classes have this name.
-    #[error("class '{0}' stands twice")]
+    #[error("class '{0}' is defined twice")]
     DuplicateClass(String),
     /// A number of a class is missing or is not positive.
-    #[error("class '{class}': {key} is no positive number")]
+    #[error("class '{class}': {key} is not a positive number")]
     NotPositive {
         /// The name of the class.
         class: String,
@@ -99,10 +99,10 @@
         key: &'static str,
     },
     /// The deduplication scope of the class with this name is unknown.
-    #[error("class '{0}': dedupScope is none of all, zone, cell")]
+    #[error("class '{0}': dedupScope is not one of all, zone, cell")]
     UnknownScope(String),
     /// The effect of a class is not one of idempotent, deduplicated and at_most_once.
-    #[error("class '{class}': effect '{effect}' is none of idempotent, deduplicated, at_most_once")]
+    #[error("class '{class}': effect '{effect}' is not one of idempotent, deduplicated, at_most_once")]
     UnknownEffect {
         /// The name of the class.
         class: String,
@@ -110,7 +110,7 @@
         effect: String,
     },
     /// The maximum number of attempts is missing or is not a positive integer.
-    #[error("ceilings.maxAttempts is no positive number")]
+    #[error("ceilings.maxAttempts is not a positive number")]
     NoAttempts,
 }
 
--- a/crates/proxy/src/config/check.rs
+++ b/crates/proxy/src/config/check.rs
@@ -66,7 +66,7 @@
         if let Some(TextFormat { name: format, example, is_valid }) = format
             && !is_valid(text)
         {
-            self.fault(pointer, format!("'{text}' is no {format}; one is \"{example}\""));
+            self.fault(pointer, format!("'{text}' is not a valid {format}; example: \"{example}\""));
         }
     }
 
--- a/crates/proxy/src/config/tests.rs
+++ b/crates/proxy/src/config/tests.rs
@@ -63,17 +63,17 @@
     let expected = [
         "f:1:1: 'listen' is missing",
         "f:1:1: unknown key 'lisen', did you mean 'listen'?",
-        "f:3:11: 'localhost:1' is no address; one is \"127.0.0.1:8080\"",
+        "f:3:11: 'localhost:1' is not a valid address; example: \"127.0.0.1:8080\"",
         "f:4:10: 'weight' is -1, and has to be 0.001 or more",
         "f:5:8: 'zone' has to be text, not a number",
         "f:7:8: 'name' is empty",
         "f:8:10: 'effect' is \"often\", and has to be \"safe\" or \"once\" or \"keyed\"",
         "f:9:12: 'deadline' has to be text, not a number",
-        "f:11:10: 'much' is no size; one is \"64MiB\"",
+        "f:11:10: 'much' is not a valid size; example: \"64MiB\"",
         "f:12:12: 'attempts' is 0, and has to be 1 or more",
         "f:14:10: 'format' is \"xml\", and has to be \"text\" or \"json\"",
         "f:15:10: 'access' is 2, and has to be 1 or less",
-        "f:16:10: 'a=b=c' is no filter; one is \"info,leadrelay::access=off\"",
+        "f:16:10: 'a=b=c' is not a valid filter; example: \"info,leadrelay::access=off\"",
         "f:18:10: 'listen' has to be text, not a number",
     ];
     assert_eq!(faults(text), expected);
@@ -124,11 +124,11 @@
     let faults = platform::check(text).expect_err("five faults");
     let reported: Vec<&str> = faults.iter().map(|f| f.message.as_str()).collect();
     let expected = [
-        "class 'a': deadline is no positive number",
-        "class 'a' stands twice",
-        "class 'a': worth is no positive number",
-        "class 'a': effect 'often' is none of idempotent, deduplicated, at_most_once",
-        "ceilings.maxAttempts is no positive number",
+        "class 'a': deadline is not a positive number",
+        "class 'a' is defined twice",
+        "class 'a': worth is not a positive number",
+        "class 'a': effect 'often' is not one of idempotent, deduplicated, at_most_once",
+        "ceilings.maxAttempts is not a positive number",
     ];
     assert_eq!(reported, expected);
 }
--- a/crates/proxy/src/config/values.rs
+++ b/crates/proxy/src/config/values.rs
@@ -62,7 +62,7 @@
                 let text = Cow::<str>::deserialize(deserializer)?;
                 let parse: fn(&str) -> Option<$inner> = $parse;
                 parse(&text).map($name).ok_or_else(|| {
-                    serde::de::Error::custom(format!("'{text}' is no {}", $format))
+                    serde::de::Error::custom(format!("'{text}' is not a valid {}", $format))
                 })
             }
         }
--- a/crates/proxy/src/listed_endpoint.rs
+++ b/crates/proxy/src/listed_endpoint.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
     /// The entry does not name an endpoint.
-    #[error("no 'host'")]
+    #[error("'host' is missing")]
     NoName,
     /// The entry's health is missing, or none of the values that the protocol defines.
     #[error("backend {name}: unknown health {health}")]
@@ -60,7 +60,7 @@
         health: String,
     },
     /// The endpoint takes requests but has no valid address.
-    #[error("backend {name}: no address in 'dial'")]
+    #[error("backend {name}: 'dial' is missing or not an address")]
     NoAddress {
         /// The name of the endpoint.
         name: String,
